--- a/bench/lab.c
+++ b/bench/lab.c
@@ -289,7 +289,7 @@
     WPEndpoint *p =
         wp_entry_endpoint(lab->doors[door].entry, lab->servers[server].id);
     if (p && l->slots)
-        wp_endpoint_load(p, l, lab->now_us);
+        wp_endpoint_update_load(p, l, lab->now_us);
 }
 
 static void on_pong(Lab *lab, Event *e)
--- a/bench/limit_play.c
+++ b/bench/limit_play.c
@@ -59,7 +59,7 @@
     enum { WORD_SENT, WORD_ASKED, WORD_ZONE, WORD_LIMIT } kind;
     uint64_t endpoint; /* SENT */
     WPDemandNews demand;
-    WPLimitNews limit;
+    WPLimitUpdate limit;
 } Word;
 
 typedef struct Play {
@@ -111,11 +111,11 @@
 {
     Box *b = &p->boxes[i];
     const WPFleetRules rules = { .own_zone = g_intern_string(b->name.zone),
-                                 .zone = 0.35,
-                                 .slow = 0.25 };
+                                 .zone_weight = 0.35,
+                                 .slow_weight = 0.25 };
     g_autofree WPPaceBox *all = g_new(WPPaceBox, p->plan->boxes);
     b->fleet = wp_fleet_new(p->plan->seed * 1000 + i + b->life * 77);
-    wp_fleet_rules(b->fleet, &rules);
+    wp_fleet_set_rules(b->fleet, &rules);
     for (unsigned k = 0; k < p->plan->boxes; k++)
         all[k] = p->boxes[k].name;
     wp_fleet_set_boxes(b->fleet, &b->name, all, p->plan->boxes, p->plan->boxes);
@@ -129,7 +129,7 @@
         wp_fleet_put(b->fleet, time_of(ms), &l);
     }
     wp_box_news_init(&b->news);
-    wp_fleet_tell(b->fleet, &b->news);
+    wp_fleet_set_updates(b->fleet, &b->news);
 }
 
 static void end_box(Box *b)
@@ -216,7 +216,7 @@
 }
 
 static void send(Play *p, unsigned box, WPReplica *s, int64_t ms,
-                 const WPWant *w)
+                 const WPEndpointQuery *w)
 {
     Leg *l = g_new0(Leg, 1);
     l->at_ms = ms + within(p, WAY_MOST_MS);
@@ -224,18 +224,18 @@
     l->box = box;
     l->life = p->boxes[box].life;
     l->endpoint = (unsigned)atoi(s->id + strlen("i-"));
-    wp_fleet_sent(p->boxes[box].fleet, s, time_of(ms), w, 0);
-    wp_fleet_release(s);
+    wp_fleet_request_sent(p->boxes[box].fleet, s, time_of(ms), w, 0);
+    wp_replica_unref(s);
     due(p->legs, l->at_ms, l);
 }
 
 static void ask(Play *p, unsigned box, int64_t ms)
 {
     Box *b = &p->boxes[box];
-    const WPWant w = { .service = SERVICE,
-                       .zone = b->name.zone,
-                       .draw = g_rand_double(p->rand) };
-    wp_fleet_asked(b->fleet, time_of(ms), SERVICE);
+    const WPEndpointQuery w = { .service = SERVICE,
+                                .zone = b->name.zone,
+                                .random = g_rand_double(p->rand) };
+    wp_fleet_count_request(b->fleet, time_of(ms), SERVICE);
     WPReplica *s = wp_fleet_choose(b->fleet, time_of(ms), &w);
     bool counts = ms >= NAMES_MS + TOLD_MS;
     p->asked += counts;
@@ -263,12 +263,13 @@
     if (b->life != l->life)
         return;
     WPReplica *s = wp_fleet_find(b->fleet, p->endpoints[l->endpoint].id);
-    const WPLimitSeen seen = { { l->per_s > 0 ? WP_LIMIT_NAMED : WP_LIMIT_NONE,
-                                 l->per_s },
-                               true,
-                               time_of(l->sent_ms).mono_us };
-    wp_fleet_told_limit(b->fleet, s, now, &seen);
-    wp_fleet_ended(s, now, WP_SERVED_OK);
+    const WPLimitReport seen = {
+        { l->per_s > 0 ? WP_LIMIT_NAMED : WP_LIMIT_NONE, l->per_s },
+        true,
+        time_of(l->sent_ms).mono_us
+    };
+    wp_fleet_record_limit(b->fleet, s, now, &seen);
+    wp_fleet_request_ended(s, now, WP_OUTCOME_OK);
 }
 
 static void run_legs(Play *p, int64_t ms)
@@ -322,7 +323,7 @@
         w.kind = WORD_SENT;
         w.endpoint = g_array_index(b->news.sent_to, uint64_t, i);
         const WPReplica *s = wp_fleet_by_hash(b->fleet, w.endpoint);
-        if (s && s->said.limit)
+        if (s && s->reported.limit)
             say_in_zone(p, box, ms, &w);
     }
     wp_box_news_clear(&b->news);
@@ -331,18 +332,20 @@
 static void tell_all(Play *p, unsigned box, int64_t ms)
 {
     WPFleet *f = p->boxes[box].fleet;
-    WPLimitNews limits[64];
+    WPLimitUpdate limits[64];
     Word w = { .kind = WORD_LIMIT };
-    size_t n = wp_fleet_tell_limits(f, time_of(ms), limits, WP_COUNT(limits));
+    size_t n =
+        wp_fleet_take_unsent_limits(f, time_of(ms), limits, WP_COUNT(limits));
     for (size_t i = 0; i < n; i++) {
         w.limit = limits[i];
-        if (limits[i].box == p->boxes[box].name.hash) /* all hear it at once */
+        if (limits[i].origin_box ==
+            p->boxes[box].name.hash) /* all hear it at once */
             say_to_all(p, box, ms, &w);
     }
     w.kind = WORD_ZONE;
     bool first = box < p->plan->zones;
     while (first && wp_demand_is_wanted(wp_fleet_demand(f), time_of(ms)) &&
-           wp_fleet_tell_zone_demand(f, time_of(ms), &w.demand))
+           wp_fleet_take_unsent_zone_demand(f, time_of(ms), &w.demand))
         say_to_all(p, box, ms, &w);
 }
 
@@ -356,7 +359,7 @@
         switch (w->kind) {
         case WORD_SENT:
             if (s)
-                wp_fleet_hear_sent(s, now, 0);
+                wp_fleet_merge_sent(s, now, 0);
             break;
         case WORD_ASKED:
             wp_demand_hear(wp_fleet_demand(f), now, &w->demand);
@@ -365,7 +368,7 @@
             wp_demand_hear_zone(wp_fleet_demand(f), now, &w->demand);
             break;
         case WORD_LIMIT:
-            wp_fleet_hear_limit(f, now, &w->limit);
+            wp_fleet_merge_limit(f, now, &w->limit);
             break;
         }
     }
@@ -377,7 +380,7 @@
     int64_t ms;
 } Told;
 
-static void tell_limit(void *arg, const WPLimitNews *n)
+static void tell_limit(void *arg, const WPLimitUpdate *n)
 {
     Told *t = arg;
     const Word w = { .kind = WORD_LIMIT, .limit = *n };
--- a/bench/wpbench.c
+++ b/bench/wpbench.c
@@ -462,19 +462,21 @@
     WPPolicy *policy = wp_policy_new(config);
     WPQuality *quality = wp_quality_new();
     WPBound *table = wp_quality_table(quality, policy);
-    WPChoice c = { .policy = policy,
-                   .kind = wp_policy_kind(policy, "rider-answer"),
-                   .table = table,
-                   .prompt_tokens = 50,
-                   .answer_tokens = 50 };
-    WPPick p = { .near = near, .n_near = n_near, .far = far, .n_far = n_far };
+    WPVersionQuery c = { .policy = policy,
+                         .kind = wp_policy_kind(policy, "rider-answer"),
+                         .bounds = table,
+                         .prompt_tokens = 50,
+                         .answer_tokens = 50 };
+    WPPickQuery p = {
+        .local = near, .n_local = n_near, .remote = far, .n_remote = n_far
+    };
     const WPChooser *chooser = wp_chooser("cost");
     const WPWorkspace *ws = wp_policy_workspace_at(policy, 0);
     struct mallinfo2 before = mallinfo2();
     double start = thread_us();
     for (int i = 0; i < ROUNDS; i++) {
         wp_policy_allowed(policy, ws, c.kind, NULL, &c.allowed);
-        c.u = (double)(i % 1000) / 1000;
+        c.random = (double)(i % 1000) / 1000;
         chooser->ops->choose(chooser, &c);
         p.now_us = i;
         p.affinity = (uint64_t)i;
--- a/bench/wpchoice.c
+++ b/bench/wpchoice.c
@@ -16,7 +16,7 @@
     return p;
 }
 
-static void fill(WPFleet *f, WPTime now, const WPWant *like)
+static void fill(WPFleet *f, WPTime now, const WPEndpointQuery *like)
 {
     for (unsigned i = 0; i < ENGINES; i++) {
         g_autofree char *id = g_strdup_printf("i-%04u", i);
@@ -31,43 +31,44 @@
         WPReplica *s = wp_fleet_find(f, id);
         for (unsigned n = 0; n < PARTS / 2; n++) {
             WPPrompt p = prompt_of((i * 31 + n) % 400, i * PARTS + n);
-            WPWant w = *like;
+            WPEndpointQuery w = *like;
             w.prompt = &p;
-            wp_fleet_sent(f, s, now, &w, 0);
-            wp_fleet_ended(s, now, WP_SERVED_OK);
+            wp_fleet_request_sent(f, s, now, &w, 0);
+            wp_fleet_request_ended(s, now, WP_OUTCOME_OK);
         }
     }
 }
 
 int main(void)
 {
-    const WPFleetRules rules = { .zone = 0.35,
-                                 .zone_kb = 0.03,
-                                 .home = 0.4,
-                                 .read_kt = 0.04,
-                                 .move_kt = 0.1,
-                                 .keep = true,
-                                 .slow = 0.25 };
+    const WPFleetRules rules = { .zone_weight = 0.35,
+                                 .zone_weight_per_kb = 0.03,
+                                 .affinity_weight = 0.4,
+                                 .prefill_weight_per_kt = 0.04,
+                                 .transfer_weight_per_kt = 0.1,
+                                 .track_prefixes = true,
+                                 .slow_weight = 0.25 };
     WPTime now = { 1000 * WP_US_PER_S, 0 };
-    WPSpeed speed = { 0 };
+    WPTtfbModel speed = { 0 };
     WPFleet *f = wp_fleet_new(1);
-    wp_fleet_rules(f, &rules);
+    wp_fleet_set_rules(f, &rules);
     for (uint32_t i = 0; i < 200; i++) {
-        WPWork work = { .prompt = 100 * i, .unread = 100 * i };
-        wp_speed_add(&speed, &work, 20000 + 8000 * (int64_t)i);
+        WPTtfbInputs work = { .prompt_tokens = 100 * i,
+                              .uncached_tokens = 100 * i };
+        wp_ttfb_add(&speed, &work, 20000 + 8000 * (int64_t)i);
     }
-    WPWant w = { .service = "llm",
-                 .zone = "z1",
-                 .model = 7,
-                 .speed = &speed,
-                 .second = 1,
-                 .body_bytes = 12000 };
+    WPEndpointQuery w = { .service = "llm",
+                          .zone = "z1",
+                          .model = 7,
+                          .ttfb = &speed,
+                          .ttfb_weight = 1,
+                          .body_bytes = 12000 };
     fill(f, now, &w);
     int64_t start = g_get_monotonic_time();
     for (unsigned n = 0; n < CHOICES; n++) {
         WPPrompt p = prompt_of(n % 500, n);
         w.prompt = &p;
-        wp_fleet_release(wp_fleet_choose(f, now, &w));
+        wp_replica_unref(wp_fleet_choose(f, now, &w));
     }
     printf("choice among %d engines: %.2f us\n", ENGINES,
            (double)(g_get_monotonic_time() - start) / CHOICES);
--- a/io/wp_back.c
+++ b/io/wp_back.c
@@ -73,7 +73,7 @@
         event_free(c->connect_timer);
     bufferevent_free(c->bev);
     wp_h1_end(&c->h1);
-    wp_fleet_release(c->to);
+    wp_replica_unref(c->to);
     g_free(c);
 }
 
@@ -216,7 +216,7 @@
 {
     bool early = now.mono_us - c->idle_since_us < c->idle_us;
     if (!c->arg && c->idle_told && early)
-        wp_fleet_idle_lost(c->to, now);
+        wp_fleet_idle_connection_lost(c->to, now);
 }
 
 static void on_event(struct bufferevent *bev, short what, void *arg)
@@ -256,7 +256,7 @@
         return NULL;
     WPChannel *c = g_new0(WPChannel, 1);
     c->back = b;
-    c->to = wp_fleet_hold(to);
+    c->to = wp_replica_ref(to);
     c->bev = bev;
     b->opened++;
     wp_list_append(&b->channels, &c->node);
--- a/io/wp_digest.c
+++ b/io/wp_digest.c
@@ -28,7 +28,8 @@
 {
     g_auto(GStrv) part = g_strsplit(what, " ", 2);
     if (part[0] && part[1])
-        wp_fleet_hear_loaded(s->host->direct.fleet, now, part[0], part[1]);
+        wp_fleet_merge_fails_under_load(s->host->direct.fleet, now, part[0],
+                                        part[1]);
 }
 
 /* Arrays of unlike lengths are a peer's fault: the rest is left out. */
@@ -36,9 +37,9 @@
 {
     size_t n = MIN(d->n_kept_at, MIN(d->n_kept_prefix, d->n_kept_tokens));
     for (size_t i = 0; i < n; i++) {
-        const WPKeptNews news = { d->kept_at[i], d->kept_prefix[i],
-                                  d->kept_tokens[i] };
-        wp_fleet_hear_kept(s->host->direct.fleet, now, &news);
+        const WPCachedPrefixUpdate news = { d->kept_at[i], d->kept_prefix[i],
+                                            d->kept_tokens[i] };
+        wp_fleet_merge_cached_prefix(s->host->direct.fleet, now, &news);
     }
 }
 
@@ -100,8 +101,9 @@
 
 static void fill_kept(WPSync *s, Wp__MirrorDigest *d)
 {
-    WPKeptNews news[WP_KEPT_TOLD];
-    size_t n = wp_fleet_tell_kept(s->host->direct.fleet, news, WP_KEPT_TOLD);
+    WPCachedPrefixUpdate news[WP_KEPT_TOLD];
+    size_t n = wp_fleet_take_unsent_prefixes(s->host->direct.fleet, news,
+                                             WP_KEPT_TOLD);
     for (size_t i = 0; i < n; i++) {
         s->kept_at[i] = news[i].replica;
         s->kept_prefix[i] = news[i].key;
@@ -134,7 +136,8 @@
     d->moves = s->sums_list;
     wp_shifts_each(s->host->direct.shifts, fill_sums, &f);
     d->fails_loaded = s->loaded;
-    wp_fleet_each_loaded(s->host->direct.fleet, now, fill_loaded, &f);
+    wp_fleet_each_failing_under_load(s->host->direct.fleet, now, fill_loaded,
+                                     &f);
     d->bound = s->bound;
     d->n_bound = fill_sessions(s, now, WP_TELL_BOUND, s->bound);
     fill_kept(s, d);
--- a/io/wp_direct_admin.c
+++ b/io/wp_direct_admin.c
@@ -28,13 +28,13 @@
 static void add_limit(void *arg, WPReplica *s)
 {
     Page *z = arg;
-    if (s->said.limit)
+    if (s->reported.limit)
         g_string_append_printf(
             z->text,
             "wp_endpoint_limit{box=\"%s\",endpoint=\"%s\"} %g\n"
             "wp_endpoint_limited_sent_total{box=\"%s\",endpoint=\"%s\"} %lu\n",
-            z->box, s->id, s->said.limit->per_s, z->box, s->id,
-            (unsigned long)s->said.limit->sent);
+            z->box, s->id, s->reported.limit->per_s, z->box, s->id,
+            (unsigned long)s->reported.limit->sent);
 }
 
 static void add_kept_out(void *arg, const WPSuspect *p)
@@ -83,9 +83,9 @@
         wp_fleet_count_notices(h->direct.fleet, wp_clock_now(0));
     g_string_append_printf(
         out, "wp_endpoints_leaving{%s} %u\nwp_endpoints_resting{%s} %u\n",
-        labels, notices.leaving, labels, notices.resting);
+        labels, notices.draining, labels, notices.backing_off);
     Page z = { s->id, out };
-    wp_fleet_each_zone_out(h->direct.fleet, add_zone_out, &z);
+    wp_fleet_each_evacuated_zone(h->direct.fleet, add_zone_out, &z);
     wp_suspects_each(h->direct.suspects, add_kept_out, &z);
     wp_fleet_each(h->direct.fleet, add_limit, &z);
     wp_traffic_each(wp_sync_traffic(h->sync), add_traffic, &z);
--- a/io/wp_direct_host.c
+++ b/io/wp_direct_host.c
@@ -143,16 +143,16 @@
         .cascade = { s->confidence_even, s->confidence_spread, s->answer_value,
                      s->request_value, s->strain_from, s->strain_weight },
         .fleet = { .own_zone = g_intern_string(s->zone),
-                   .zone = s->weigh_zone,
-                   .zone_kb = s->weigh_zone_kb,
-                   .home = s->weigh_home,
-                   .read_kt = s->weigh_read_kt,
-                   .move_kt = s->weigh_move_kt,
+                   .zone_weight = s->weigh_zone,
+                   .zone_weight_per_kb = s->weigh_zone_kb,
+                   .affinity_weight = s->weigh_home,
+                   .prefill_weight_per_kt = s->weigh_read_kt,
+                   .transfer_weight_per_kt = s->weigh_move_kt,
                    .cold_overshoot = s->cold_overshoot,
                    .cold_slack = s->cold_slack,
-                   .keep = s->keep_prompts,
-                   .pause = s->weigh_pause,
-                   .slow = s->weigh_slow,
+                   .track_prefixes = s->keep_prompts,
+                   .stall_weight = s->weigh_pause,
+                   .slow_weight = s->weigh_slow,
                    .choices = s->choices },
         .second = s->weigh_time
     };
@@ -200,7 +200,7 @@
     h->settings = s;
     h->log.box = s->id;
     h->direct.rules = rules_of(s);
-    wp_fleet_rules(h->direct.fleet, &h->direct.rules.fleet);
+    wp_fleet_set_rules(h->direct.fleet, &h->direct.rules.fleet);
     wp_held_limit(&h->held, s->memory_mb);
     take_areas(h);
     wp_log(&h->log, WP_INFO, "reloaded", NULL);
--- a/io/wp_legs.c
+++ b/io/wp_legs.c
@@ -370,7 +370,7 @@
     if (f->load && l->peer) {
         WPEndpoint *p = wp_entry_endpoint(s->entry, l->peer);
         if (p)
-            wp_endpoint_load(p, f->load, now.mono_us);
+            wp_endpoint_update_load(p, f->load, now.mono_us);
     }
     if (f->body_case == WP__FRAME__BODY_SETTLED && l->peer)
         wp_entry_settled(s->entry, l->peer, l->peer_incarnation,
--- a/io/wp_news.c
+++ b/io/wp_news.c
@@ -60,8 +60,8 @@
 
 static void take_zone(WPSync *s, const char *zone, bool out)
 {
-    if (wp_fleet_set_zone_out(s->host->direct.fleet, wp_clock_now(0), zone,
-                              out))
+    if (wp_fleet_set_zone_evacuated(s->host->direct.fleet, wp_clock_now(0),
+                                    zone, out))
         wp_log(&s->host->log, WP_INFO, out ? "zone_out" : "zone_back", "zone",
                zone, NULL);
 }
--- a/io/wp_notice_news.c
+++ b/io/wp_notice_news.c
@@ -53,7 +53,7 @@
     m->news.n_leaving = m->news.n_rests = 0;
 }
 
-static void add_limit(void *arg, const WPLimitNews *n)
+static void add_limit(void *arg, const WPLimitUpdate *n)
 {
     Message *m = arg;
     if (m->news.n_limits == TOLD_MOST)
@@ -63,8 +63,8 @@
     wp__endpoint_limit__init(l);
     l->endpoint = n->endpoint;
     l->per_s = n->per_s;
-    l->number = n->number;
-    l->box = n->box;
+    l->number = n->sequence;
+    l->box = n->origin_box;
     m->limit_list[i] = l;
 }
 
@@ -94,9 +94,9 @@
 
 static void add_rests(WPNoticeFlood *n, WPTime now, Message *m)
 {
-    WPRestNews rests[TOLD_MOST];
-    m->news.n_rests =
-        wp_fleet_tell_rests(n->host->direct.fleet, now, rests, WP_COUNT(rests));
+    WPBackoffUpdate rests[TOLD_MOST];
+    m->news.n_rests = wp_fleet_take_unsent_backoffs(n->host->direct.fleet, now,
+                                                    rests, WP_COUNT(rests));
     for (size_t i = 0; i < m->news.n_rests; i++) {
         wp__endpoint_rest__init(&m->rests[i]);
         m->rests[i].endpoint = rests[i].endpoint;
@@ -109,19 +109,19 @@
 {
     WPNoticeFlood *n = arg;
     WPTime now = wp_clock_now(0);
-    WPLimitNews limits[TOLD_MOST];
+    WPLimitUpdate limits[TOLD_MOST];
     g_autofree Message *m = new_message(n->peers, NULL);
     (void)fd;
     (void)what;
-    size_t count = wp_fleet_tell_limits(n->host->direct.fleet, now, limits,
-                                        WP_COUNT(limits));
+    size_t count = wp_fleet_take_unsent_limits(n->host->direct.fleet, now,
+                                               limits, WP_COUNT(limits));
     for (size_t i = 0; i < count; i++)
         add_limit(m, &limits[i]);
     for (guint i = 0; i < n->demands->len; i++)
         add_demand(m, &g_array_index(n->demands, WPDemandNews, i));
     g_array_set_size(n->demands, 0);
-    m->news.n_leaving = wp_fleet_tell_leaving(n->host->direct.fleet, m->leaving,
-                                              WP_COUNT(m->leaving));
+    m->news.n_leaving = wp_fleet_take_unsent_draining(
+        n->host->direct.fleet, m->leaving, WP_COUNT(m->leaving));
     add_rests(n, now, m);
     n->sent_us = now.mono_us;
     send_message(m);
@@ -132,8 +132,9 @@
     static const struct timeval at_once = { 0, 0 };
     static const struct timeval later = { 0, GAP_MS * WP_US_PER_MS };
     const WPFleet *f = n->host->direct.fleet;
-    bool any = n->demands->len || wp_fleet_any_untold_limit(f) ||
-               wp_fleet_any_untold_leaving(f) || wp_fleet_any_untold_rest(f);
+    bool any = n->demands->len || wp_fleet_has_unsent_limits(f) ||
+               wp_fleet_has_unsent_draining(f) ||
+               wp_fleet_has_unsent_backoffs(f);
     if (!any || event_pending(n->send, EV_TIMEOUT, NULL))
         return;
     int64_t gap_us = wp_clock_now(0).mono_us - n->sent_us;
@@ -150,10 +151,10 @@
 static void log_rested(WPNoticeFlood *n, WPTime now)
 {
     WPReplica *s;
-    while ((s = wp_fleet_rested(n->host->direct.fleet, now))) {
+    while ((s = wp_fleet_next_backoff_ended(n->host->direct.fleet, now))) {
         wp_log(&n->host->log, WP_INFO, "endpoint_rested", "endpoint", s->id,
                "service", s->service, "version", s->version, NULL);
-        wp_fleet_release(s);
+        wp_replica_unref(s);
     }
 }
 
@@ -163,7 +164,7 @@
     WPDemandNews d;
     while (wp_demand_is_wanted(wp_fleet_demand(f), now) &&
            wp_peers_passes_news(n->peers) &&
-           wp_fleet_tell_zone_demand(f, now, &d))
+           wp_fleet_take_unsent_zone_demand(f, now, &d))
         add_figure(n, &d);
     log_rested(n, now);
     wp_notice_news_wake(n);
@@ -186,8 +187,8 @@
     WPFleet *f = n->host->direct.fleet;
     const WPReplica *known = wp_fleet_by_hash(f, l->endpoint);
     double was = known ? wp_fleet_limit_of(known) : 0;
-    const WPLimitNews news = { l->endpoint, l->per_s, l->number, l->box };
-    const WPReplica *s = wp_fleet_hear_limit(f, now, &news);
+    const WPLimitUpdate news = { l->endpoint, l->per_s, l->number, l->box };
+    const WPReplica *s = wp_fleet_merge_limit(f, now, &news);
     if (s && wp_fleet_limit_of(s) != was)
         log_heard(n, from, s, was);
 }
@@ -204,7 +205,7 @@
                          uint64_t life)
 {
     const WPReplica *s =
-        wp_fleet_hear_leaving(n->host->direct.fleet, now, life);
+        wp_fleet_merge_draining(n->host->direct.fleet, now, life);
     if (s)
         wp_log(&n->host->log, WP_INFO, "endpoint_leaving", "endpoint", s->id,
                "service", s->service, "version", s->version, "zone", s->zone,
@@ -222,8 +223,9 @@
     for (size_t i = 0; i < m->n_leaving; i++)
         hear_leaving(n, now, from, m->leaving[i]);
     for (size_t i = 0; i < m->n_rests; i++) {
-        const WPRestNews r = { m->rests[i]->endpoint, m->rests[i]->left_ms };
-        wp_fleet_hear_rest(n->host->direct.fleet, now, &r);
+        const WPBackoffUpdate r = { m->rests[i]->endpoint,
+                                    m->rests[i]->left_ms };
+        wp_fleet_merge_backoff(n->host->direct.fleet, now, &r);
     }
     wp_notice_news_wake(n);
 }
@@ -238,7 +240,7 @@
         return;
     wp_fleet_each_limit(f, add_limit, m);
     wp_demand_each_zone(d, wp_clock_now(0), add_demand, m);
-    wp_fleet_each_leaving(f, add_leaving, m);
+    wp_fleet_each_draining(f, add_leaving, m);
     send_message(m);
 }
 
--- a/io/wp_relay_log.c
+++ b/io/wp_relay_log.c
@@ -74,7 +74,7 @@
 {
     if (h->limit == WP_LIMIT_CHANGED)
         log_limit(r, s, h->limit_was);
-    if (h->limit == WP_LIMIT_ODD)
+    if (h->limit == WP_LIMIT_REPORT_INVALID)
         wp_log(&r->host->log, WP_WARN, "endpoint_limit_bad", "endpoint", s->id,
                "id", r->flow->id, NULL);
     if (h->leaves)
@@ -92,17 +92,19 @@
 {
     r->list_age_ms = wp_sync_list_age_ms(r->host->sync, now);
     const WPReplica *s = m->replica;
-    int64_t age_ms =
-        s->said.load_us ? (now.mono_us - s->said.load_us) / WP_US_PER_MS : -1;
+    int64_t age_ms = s->reported.load_us
+                         ? (now.mono_us - s->reported.load_us) / WP_US_PER_MS
+                         : -1;
     g_string_append_printf(r->legs, "%s%s:%s:%s:%.*s:load=%u+%u/%u:age=%ldms",
                            r->legs->len ? "," : "", wp_why_name(m->why), s->id,
                            s->version, (int)m->model.n, m->model.p,
-                           s->said.running, s->said.waiting, s->slots,
+                           s->reported.running, s->reported.waiting, s->slots,
                            (long)age_ms);
     const WPAttempt *leg = &r->flow->leg;
     if (leg->expect_us > 0)
         g_string_append_printf(r->legs, ":unread=%u:expect=%.0fms",
-                               leg->work.unread, leg->expect_us / WP_US_PER_MS);
+                               leg->work.uncached_tokens,
+                               leg->expect_us / WP_US_PER_MS);
     if (m->fetch)
         g_string_append_printf(r->legs, ":fetch=%s", m->fetch);
     if (wp_fleet_is_cold(s, now))
@@ -115,11 +117,11 @@
     int64_t now_us = wp_clock_now(0).mono_us;
     g_string_append_printf(r->legs, "%snone:%s", r->legs->len ? "," : "",
                            s->id);
-    if (m->bar == WP_BAR_LIMIT)
+    if (m->bar == WP_EXCLUDED_LIMIT)
         g_string_append_printf(r->legs, ":limit=%g", wp_fleet_limit_of(s));
-    else if (m->bar == WP_BAR_REST)
+    else if (m->bar == WP_EXCLUDED_BACKOFF)
         g_string_append_printf(r->legs, ":rest=%.3fs",
-                               (double)(s->said.rest_until_us - now_us) /
+                               (double)(s->reported.rest_until_us - now_us) /
                                    WP_US_PER_S);
     else
         g_string_append(r->legs, ":cold");
--- a/io/wp_server.c
+++ b/io/wp_server.c
@@ -227,7 +227,7 @@
         json_pack("{s:s,s:s,s:i,s:i,s:i,s:i,s:b,s:f}", "id", p->id, "zone",
                   p->zone, "inflight", (int)p->inflight, "running",
                   (int)p->reported_running, "queued", (int)p->reported_queued,
-                  "slots", (int)p->slots, "leaving", p->leaving,
+                  "slots", (int)p->slots, "leaving", p->draining,
                   "first_token_us", p->first_token_us));
 }
 
--- a/io/wp_zone.c
+++ b/io/wp_zone.c
@@ -123,7 +123,7 @@
     wp_bundle_init(&z->bundle);
     z->send = evtimer_new(h->base, on_send, z);
     if (h->settings->zone_news)
-        wp_fleet_tell(h->direct.fleet, &z->news);
+        wp_fleet_set_updates(h->direct.fleet, &z->news);
     return z;
 }
 
@@ -131,7 +131,7 @@
 {
     if (!z)
         return;
-    wp_fleet_tell(z->host->direct.fleet, NULL);
+    wp_fleet_set_updates(z->host->direct.fleet, NULL);
     event_free(z->send);
     wp_bundle_end(&z->bundle);
     wp_box_news_end(&z->news);
--- a/src/wp_balance.c
+++ b/src/wp_balance.c
@@ -1,134 +1,147 @@
-/* Endpoint views and the policies that pick among them. */
+/* Per-endpoint state of an entry, and the balancing policies that pick an
+ * endpoint for a request. */
 #include "wp_balance.h"
 
 #include <math.h>
 
-#define SMOOTH 0.2 /* weight of the newest observation */
-#define QUIET_US (50 * WP_US_PER_MS)
-#define LEARN 0.02    /* of the foretelling's errors */
-#define DOUBT 0.97    /* reports are left for own counts below this ratio */
-#define EJECT_AFTER 3 /* failures in a row */
-#define EJECT_FIRST_US (1 * WP_US_PER_S)
-#define EJECT_MOST_US (30 * WP_US_PER_S)
+#define SMOOTHING 0.2 /* weight of the newest observation */
+#define UNANSWERED_GRACE_US (50 * WP_US_PER_MS)
+#define ERROR_SMOOTHING 0.02 /* weight of the newest prediction error */
+/* Load reports are disregarded in favour of the entry's own request counts
+   when the error of the counts is below this ratio of the reports' error. */
+#define OWN_COUNT_RATIO 0.97
+#define EJECT_AFTER 3 /* consecutive failures */
+#define EJECT_MIN_US (1 * WP_US_PER_S)
+#define EJECT_MAX_US (30 * WP_US_PER_S)
 #define DEFAULT_SERVICE_US 100000.0
-/* An endpoint that likely holds the session's or prompt's prefix is taken
-   while its wait is within this factor of the best. */
+/* The affinity endpoint likely has the prefix of the session or prompt in its
+   cache. It is picked if its predicted wait is at most this many times the
+   best one. */
 #define AFFINITY_BOUND 1.25
-/* Other zones are looked at once the near ones have no free place. */
-#define PICKS_LOOKED_AT 5
+/* Candidates whose predicted waits are compared. Endpoints of other zones are
+   considered only if the best local one has no free slot. */
+#define SAMPLED_CANDIDATES 5
 
 bool wp_endpoint_usable(const WPEndpoint *e, int64_t now_us)
 {
-    if (e->leaving || now_us < e->ejected_until_us)
+    if (e->draining || now_us < e->ejected_until_us)
         return false;
-    return !(e->ejections && e->trial && e->inflight);
+    return !(e->ejections && e->half_open && e->inflight);
 }
 
-/* Requests of other callers, as last reported, fading as they finish. */
-static double others(const WPEndpoint *e, int64_t now_us)
+/* Estimates the requests of other entries at the endpoint: those of its last
+   load report that were not this entry's, decaying with the report's age as
+   they finish. */
+static double other_requests(const WPEndpoint *e, int64_t now_us)
 {
     double total = e->reported_running + e->reported_queued;
-    double rest = total - e->inflight_at_report;
+    double other = total - e->inflight_at_report;
     double service = e->service_us > 0 ? e->service_us : DEFAULT_SERVICE_US;
     double age = (double)(now_us - e->report_us);
-    return rest > 0 ? rest * exp(-age / (4 * service)) : 0;
+    return other > 0 ? other * exp(-age / (4 * service)) : 0;
 }
 
-static double wait_for(const WPEndpoint *e, double held, int64_t now_us)
+static double predicted_wait(const WPEndpoint *e, double requests,
+                             int64_t now_us)
 {
     double service = e->service_us > 0 ? e->service_us : DEFAULT_SERVICE_US;
     double first = e->first_token_us > 0 ? e->first_token_us : service / 10;
     double slots = e->slots ? e->slots : 1;
-    double queue = held >= slots ? (held - slots + 1) / slots * service : 0;
+    double queue =
+        requests >= slots ? (requests - slots + 1) / slots * service : 0;
     if (now_us < e->busy_until_us)
         queue += (double)(e->busy_until_us - now_us);
-    /* One that was sent something and has not been heard since may be gone:
-       the silence counts, long before it is found out. */
-    if (e->quiet_us && now_us - e->quiet_us > QUIET_US)
-        queue += (double)(now_us - e->quiet_us);
-    /* A fuller batch steps more slowly, also before it is full. */
-    return first * (1 + held / slots) + queue;
+    /* An endpoint that has reported nothing since a request was sent to it may
+       be down: the time without a report is added to its wait, long before its
+       failure is detected. */
+    if (e->unanswered_since_us &&
+        now_us - e->unanswered_since_us > UNANSWERED_GRACE_US)
+        queue += (double)(now_us - e->unanswered_since_us);
+    /* A larger batch slows down each step, also while slots are free. */
+    return first * (1 + requests / slots) + queue;
 }
 
 double wp_endpoint_wait(const WPEndpoint *e, int64_t now_us)
 {
-    return wait_for(e, e->inflight + others(e, now_us), now_us);
+    return predicted_wait(e, e->inflight + other_requests(e, now_us), now_us);
 }
 
 double wp_endpoint_own_wait(const WPEndpoint *e, int64_t now_us)
 {
-    return wait_for(e, e->inflight, now_us);
+    return predicted_wait(e, e->inflight, now_us);
 }
 
-WPForetold wp_balancer_foretell(const WPEndpoint *e, int64_t now_us)
+WPWaitPrediction wp_balancer_predict(const WPEndpoint *e, int64_t now_us)
 {
-    return (WPForetold){ wp_endpoint_wait(e, now_us),
-                         wp_endpoint_own_wait(e, now_us) };
+    return (WPWaitPrediction){ wp_endpoint_wait(e, now_us),
+                               wp_endpoint_own_wait(e, now_us) };
 }
 
-static double error_of(double old, double foretold, double took)
+static double smoothed_error(double old, double predicted, double took)
 {
-    double miss = fabs(log(fmax(foretold, 1) / fmax(took, 1)));
-    return old + LEARN * (miss - old);
+    double error = fabs(log(fmax(predicted, 1) / fmax(took, 1)));
+    return old + ERROR_SMOOTHING * (error - old);
 }
 
-void wp_balancer_learn(WPBalancer *b, const WPForetold *f, int64_t took_us)
+void wp_balancer_learn(WPBalancer *b, const WPWaitPrediction *f,
+                       int64_t took_us)
 {
     b->error_reported =
-        error_of(b->error_reported, f->reported, (double)took_us);
-    b->error_own = error_of(b->error_own, f->own, (double)took_us);
+        smoothed_error(b->error_reported, f->reported, (double)took_us);
+    b->error_own = smoothed_error(b->error_own, f->own, (double)took_us);
 }
 
-/* Reports that lag foretell worse than the entry's own count: whichever has
-   been nearer of late is believed. */
-static bool believes_reports(const WPBalancer *b)
+/* Outdated load reports predict the wait worse than the entry's own request
+   count. Whichever had the smaller recent error is used. */
+static bool trusts_reports(const WPBalancer *b)
 {
-    return b->error_own >= DOUBT * b->error_reported;
+    return b->error_own >= OWN_COUNT_RATIO * b->error_reported;
 }
 
-static double believed_wait(const WPBalancer *b, const WPEndpoint *e,
-                            int64_t now_us)
+static double current_wait(const WPBalancer *b, const WPEndpoint *e,
+                           int64_t now_us)
 {
-    return believes_reports(b) ? wp_endpoint_wait(e, now_us)
-                               : wp_endpoint_own_wait(e, now_us);
+    return trusts_reports(b) ? wp_endpoint_wait(e, now_us)
+                             : wp_endpoint_own_wait(e, now_us);
 }
 
-static bool has_room(const WPBalancer *b, const WPEndpoint *e, int64_t now_us)
+static bool has_free_slot(const WPBalancer *b, const WPEndpoint *e,
+                          int64_t now_us)
 {
-    double held = e->inflight;
-    if (believes_reports(b))
-        held += others(e, now_us);
-    return held < e->slots && now_us >= e->busy_until_us;
+    double requests = e->inflight;
+    if (trusts_reports(b))
+        requests += other_requests(e, now_us);
+    return requests < e->slots && now_us >= e->busy_until_us;
 }
 
 void wp_endpoint_sent(WPEndpoint *e, int64_t now_us)
 {
     e->inflight++;
-    if (!e->quiet_us)
-        e->quiet_us = now_us;
+    if (!e->unanswered_since_us)
+        e->unanswered_since_us = now_us;
 }
 
-void wp_endpoint_load(WPEndpoint *e, const Wp__Load *l, int64_t now_us)
+void wp_endpoint_update_load(WPEndpoint *e, const Wp__Load *l, int64_t now_us)
 {
     e->reported_running = l->running;
     e->reported_queued = l->queued;
     e->inflight_at_report = e->inflight;
     e->report_us = now_us;
-    e->quiet_us = 0;
+    e->unanswered_since_us = 0;
     if (l->slots)
         e->slots = l->slots;
     if (l->has_service_us && l->service_us)
         e->service_us = l->service_us;
     if (l->has_leaving && l->leaving)
-        e->leaving = true;
+        e->draining = true;
 }
 
 static double smooth(double old, double now)
 {
-    return old > 0 ? old + SMOOTH * (now - old) : now;
+    return old > 0 ? old + SMOOTHING * (now - old) : now;
 }
 
-void wp_endpoint_first(WPEndpoint *e, int64_t took_us)
+void wp_endpoint_first_token(WPEndpoint *e, int64_t took_us)
 {
     e->first_token_us = smooth(e->first_token_us, (double)took_us);
 }
@@ -137,7 +150,7 @@
 {
     if (e->inflight)
         e->inflight--;
-    e->trial = false;
+    e->half_open = false;
     if (ok) {
         e->service_us = smooth(e->service_us, (double)took_us);
         e->fail_streak = 0;
@@ -147,10 +160,10 @@
     e->fail_streak++;
     if (e->fail_streak < EJECT_AFTER && !e->ejections)
         return false;
-    double pause = ldexp(EJECT_FIRST_US, (int)MIN(e->ejections, 8));
-    e->ejected_until_us = now_us + (int64_t)fmin(pause, EJECT_MOST_US);
+    double eject_us = ldexp(EJECT_MIN_US, (int)MIN(e->ejections, 8));
+    e->ejected_until_us = now_us + (int64_t)fmin(eject_us, EJECT_MAX_US);
     e->ejections++;
-    e->trial = true;
+    e->half_open = true;
     return true;
 }
 
@@ -161,60 +174,63 @@
     e->busy_until_us = now_us + (int64_t)retry_ms * WP_US_PER_MS;
 }
 
-static bool avoided(const WPPick *p, const WPEndpoint *e)
+static bool was_tried(const WPPickQuery *p, const WPEndpoint *e)
 {
-    for (unsigned i = 0; i < p->n_avoid; i++)
-        if (p->avoid[i] == e)
+    for (unsigned i = 0; i < p->n_tried; i++)
+        if (p->tried[i] == e)
             return true;
     return false;
 }
 
-/* Up to WP_PICK_MAX usable ones, from a random place on. */
-static unsigned gather(WPBalancer *b, const WPPick *p, WPEndpoint *const *from,
-                       unsigned n, WPEndpoint **out)
+/* Collects up to WP_PICK_MAX usable endpoints of `from` into `out`, starting
+   at a random index; returns their number. */
+static unsigned gather(WPBalancer *b, const WPPickQuery *p,
+                       WPEndpoint *const *from, unsigned n, WPEndpoint **out)
 {
     unsigned count = 0;
     unsigned start = n ? (unsigned)g_rand_int_range(b->rand, 0, (gint)n) : 0;
     unsigned look = MIN(n, 4 * WP_PICK_MAX);
     for (unsigned i = 0; i < look && count < WP_PICK_MAX; i++) {
         WPEndpoint *e = from[(start + i) % n];
-        if (wp_endpoint_usable(e, p->now_us) && !avoided(p, e))
+        if (wp_endpoint_usable(e, p->now_us) && !was_tried(p, e))
             out[count++] = e;
     }
     return count;
 }
 
-/* Candidates of the baselines: all zones alike. */
-static unsigned gather_all(WPBalancer *b, const WPPick *p, WPEndpoint **out)
+/* Candidates of the baseline policies, which do not prefer the local zone. */
+static unsigned gather_all(WPBalancer *b, const WPPickQuery *p,
+                           WPEndpoint **out)
 {
-    unsigned n = gather(b, p, p->near, p->n_near, out);
-    WPEndpoint *far[WP_PICK_MAX];
-    unsigned m = gather(b, p, p->far, p->n_far, far);
+    unsigned n = gather(b, p, p->local, p->n_local, out);
+    WPEndpoint *remote[WP_PICK_MAX];
+    unsigned m = gather(b, p, p->remote, p->n_remote, remote);
     for (unsigned i = 0; i < m && n < 2 * WP_PICK_MAX; i++)
-        out[n++] = far[i];
+        out[n++] = remote[i];
     return n;
 }
 
-static WPEndpoint *pick_random(WPBalancer *b, const WPPick *p)
+static WPEndpoint *pick_random(WPBalancer *b, const WPPickQuery *p)
 {
     WPEndpoint *c[2 * WP_PICK_MAX];
     unsigned n = gather_all(b, p, c);
     return n ? c[g_rand_int_range(b->rand, 0, (gint)n)] : NULL;
 }
 
-static WPEndpoint *pick_round_robin(WPBalancer *b, const WPPick *p)
+static WPEndpoint *pick_round_robin(WPBalancer *b, const WPPickQuery *p)
 {
-    unsigned n = p->n_near + p->n_far;
+    unsigned n = p->n_local + p->n_remote;
     for (unsigned i = 0; i < n; i++) {
         unsigned k = b->next++ % n;
-        WPEndpoint *e = k < p->n_near ? p->near[k] : p->far[k - p->n_near];
-        if (wp_endpoint_usable(e, p->now_us) && !avoided(p, e))
+        WPEndpoint *e =
+            k < p->n_local ? p->local[k] : p->remote[k - p->n_local];
+        if (wp_endpoint_usable(e, p->now_us) && !was_tried(p, e))
             return e;
     }
     return NULL;
 }
 
-static WPEndpoint *pick_least_reported(WPBalancer *b, const WPPick *p)
+static WPEndpoint *pick_least_reported(WPBalancer *b, const WPPickQuery *p)
 {
     WPEndpoint *c[2 * WP_PICK_MAX];
     unsigned n = gather_all(b, p, c);
@@ -226,7 +242,7 @@
     return best;
 }
 
-static WPEndpoint *pick_two_choices(WPBalancer *b, const WPPick *p)
+static WPEndpoint *pick_two_choices(WPBalancer *b, const WPPickQuery *p)
 {
     WPEndpoint *c[2 * WP_PICK_MAX];
     unsigned n = gather_all(b, p, c);
@@ -237,19 +253,19 @@
     return x->inflight <= y->inflight ? x : y;
 }
 
-static WPEndpoint *least_wait(WPBalancer *b, const WPPick *p, WPEndpoint **c,
-                              unsigned n)
+static WPEndpoint *least_wait(WPBalancer *b, const WPPickQuery *p,
+                              WPEndpoint **c, unsigned n)
 {
     WPEndpoint *best = NULL;
     double best_wait = 0;
-    /* A random few: with all, entries that share a late report would all
-       pick the same one. */
-    for (unsigned i = 0; i < MIN(n, PICKS_LOOKED_AT); i++) {
+    /* Compares a random sample: if all candidates were compared, entries with
+       the same outdated load report would all pick the same endpoint. */
+    for (unsigned i = 0; i < MIN(n, SAMPLED_CANDIDATES); i++) {
         unsigned k = (unsigned)g_rand_int_range(b->rand, (gint)i, (gint)n);
         WPEndpoint *e = c[k];
         c[k] = c[i];
         c[i] = e;
-        double wait = believed_wait(b, e, p->now_us);
+        double wait = current_wait(b, e, p->now_us);
         if (best && wait >= best_wait)
             continue;
         best = e;
@@ -258,38 +274,40 @@
     return best;
 }
 
-/* The endpoint the affinity key falls to among the candidates. */
-static WPEndpoint *home_of(const WPPick *p, WPEndpoint **c, unsigned n)
+/* The candidate with the highest rendezvous score for the affinity key; NULL
+   without a key. */
+static WPEndpoint *affinity_endpoint(const WPPickQuery *p, WPEndpoint **c,
+                                     unsigned n)
 {
-    WPEndpoint *home = NULL;
+    WPEndpoint *affine = NULL;
     double best = -1;
     for (unsigned i = 0; p->affinity && i < n; i++) {
         double score = wp_rendezvous(wp_str(c[i]->id), p->affinity, 1);
         if (score <= best)
             continue;
         best = score;
-        home = c[i];
+        affine = c[i];
     }
-    return home;
+    return affine;
 }
 
-static WPEndpoint *pick_probe(WPBalancer *b, const WPPick *p)
+static WPEndpoint *pick_probe(WPBalancer *b, const WPPickQuery *p)
 {
     WPEndpoint *c[2 * WP_PICK_MAX];
-    unsigned n = gather(b, p, p->near, p->n_near, c);
-    WPEndpoint *home = home_of(p, c, n);
+    unsigned n = gather(b, p, p->local, p->n_local, c);
+    WPEndpoint *affine = affinity_endpoint(p, c, n);
     WPEndpoint *best = least_wait(b, p, c, n);
-    if (!best || !has_room(b, best, p->now_us)) {
-        unsigned m = gather(b, p, p->far, p->n_far, c + n);
-        WPEndpoint *far = least_wait(b, p, c + n, m);
-        if (far && (!best || believed_wait(b, far, p->now_us) <
-                                 believed_wait(b, best, p->now_us)))
-            best = far;
+    if (!best || !has_free_slot(b, best, p->now_us)) {
+        unsigned m = gather(b, p, p->remote, p->n_remote, c + n);
+        WPEndpoint *remote = least_wait(b, p, c + n, m);
+        if (remote && (!best || current_wait(b, remote, p->now_us) <
+                                    current_wait(b, best, p->now_us)))
+            best = remote;
     }
-    if (home && best && has_room(b, home, p->now_us) &&
-        believed_wait(b, home, p->now_us) <=
-            AFFINITY_BOUND * believed_wait(b, best, p->now_us))
-        return home;
+    if (affine && best && has_free_slot(b, affine, p->now_us) &&
+        current_wait(b, affine, p->now_us) <=
+            AFFINITY_BOUND * current_wait(b, best, p->now_us))
+        return affine;
     return best;
 }
 
--- a/src/wp_balance.h
+++ b/src/wp_balance.h
@@ -1,96 +1,115 @@
-/* Which endpoint runs a request: the entry's view of each endpoint, and
- * policies that pick one. Nothing here allocates. */
+/* Load balancing for endpoints behind agents: what an entry knows of each
+ * endpoint, and the policies that pick one for a request. Picking allocates no
+ * memory. */
 #ifndef WP_BALANCE_H
 #define WP_BALANCE_H
 
 #include "wire.pb-c.h"
 #include "wp_policy.h"
 
-/* What one entry knows of one agent and its endpoint. */
+/* What one entry knows of one agent and the endpoint behind it. */
 typedef struct WPEndpoint {
-    const char *id;   /* the agent's box id, owned by the entry's table */
+    /* The agent's box id; owned by the entry's endpoint table. */
+    const char *id;
     const char *addr; /* host:port of its peer port */
     const char *zone;
     unsigned slots;
-    bool leaving;
-    bool listed; /* used while the table is brought up to date */
-    /* From the agent's last word, and when that came. */
+    bool draining;
+    bool is_member; /* in the member table; used by wp_pools_rebuild() */
+    /* The agent's latest load report, and when it arrived. */
     unsigned reported_running, reported_queued;
     unsigned inflight_at_report;
     int64_t report_us;
     /* From this entry's own requests. */
     unsigned inflight;
-    double first_token_us; /* smoothed; 0 until known */
-    double service_us;     /* smoothed time to the end; 0 until known */
+    double first_token_us; /* smoothed time to the first token; 0: not known */
+    double service_us; /* smoothed time to the end of a request; 0: not known */
     unsigned fail_streak;
     unsigned ejections;
     int64_t ejected_until_us;
-    int64_t busy_until_us; /* it refused and named a time */
-    bool trial;            /* one request tests it after an ejection */
-    int64_t probe_us;      /* last time its load was asked for */
-    int64_t quiet_us;      /* first request since its last word; 0: none */
+    /* It refused a request and asked for none until then. */
+    int64_t busy_until_us;
+    bool half_open;   /* after an ejection: one request at a time until one has
+                         ended */
+    int64_t probe_us; /* when its load was last requested */
+    int64_t unanswered_since_us; /* when the first request since its latest
+                                    report was sent; 0: none was */
 } WPEndpoint;
 
-enum { WP_PICK_MAX = 16 }; /* candidates looked at in one decision */
-
-typedef struct WPPick {
-    WPEndpoint *const *near; /* same zone */
-    unsigned n_near;
-    WPEndpoint *const *far; /* other zones */
-    unsigned n_far;
-    const WPEndpoint *avoid[4]; /* already tried */
-    unsigned n_avoid;
+/* Candidates considered per decision, local and remote each. */
+enum { WP_PICK_MAX = 16 };
+
+/* The candidates for a request. */
+typedef struct WPPickQuery {
+    WPEndpoint *const *local; /* endpoints of the entry's own zone */
+    unsigned n_local;
+    WPEndpoint *const *remote; /* endpoints of other zones */
+    unsigned n_remote;
+    const WPEndpoint *tried[4]; /* already tried for the request */
+    unsigned n_tried;
     uint64_t affinity; /* hash of session or prompt prefix; 0: none */
     int64_t now_us;
-} WPPick;
+} WPPickQuery;
 
 typedef struct WPBalancer WPBalancer;
 
 typedef struct WPBalancerOps {
     const char *name;
-    WPEndpoint *(*pick)(WPBalancer *self, const WPPick *p);
+    WPEndpoint *(*pick)(WPBalancer *self, const WPPickQuery *p);
 } WPBalancerOps;
 
 struct WPBalancer {
     const WPBalancerOps *ops;
     GRand *rand;
-    unsigned next; /* round robin */
-    /* How far off each way of foretelling the wait has been of late, as the
-       smoothed size of the logarithm of foretold over seen. */
+    unsigned next; /* index of round robin */
+    /* Recent errors of the two ways to predict the wait, from load reports and
+       from the entry's own request counts: smoothed absolute logarithm of
+       predicted over observed time. */
     double error_reported, error_own;
 };
 
-/* Both foretold waits of one request, kept until its first token. */
-typedef struct WPForetold {
+/* The wait of one request as predicted in both ways, in microseconds; kept
+   until its first token. */
+typedef struct WPWaitPrediction {
     double reported, own;
-} WPForetold;
+} WPWaitPrediction;
 
-/* "probe" (the product's), "random", "round_robin", "least_reported" or
-   "two_choices"; NULL for another name. Same seed, same picks. */
+/* Returns a new balancer with the policy "probe" (the product's own),
+   "random", "round_robin", "least_reported" or "two_choices"; NULL for another
+   name. The same seed gives the same picks. */
 WPBalancer *wp_balancer_new(const char *name, uint32_t seed);
 void wp_balancer_free(WPBalancer *b);
 
-/* Whether it may be sent a request now. */
+/* Whether a request may be sent to the endpoint now: it is not draining or
+   ejected, and after an ejection no other request is in flight there. */
 bool wp_endpoint_usable(const WPEndpoint *e, int64_t now_us);
 
-/* Expected microseconds until a request sent now would begin to answer: from
-   the endpoint's reports, or from this entry's own requests alone. */
+/* Predicted microseconds from sending a request now to the first token of its
+   answer: by the endpoint's load reports, and by this entry's own requests
+   alone. */
 double wp_endpoint_wait(const WPEndpoint *e, int64_t now_us);
 double wp_endpoint_own_wait(const WPEndpoint *e, int64_t now_us);
 
-/* To be called when a request is sent, and when its first token comes. */
-WPForetold wp_balancer_foretell(const WPEndpoint *e, int64_t now_us);
-void wp_balancer_learn(WPBalancer *b, const WPForetold *f, int64_t took_us);
+/* wp_balancer_predict() predicts the wait of a request when it is sent;
+   wp_balancer_learn() compares the prediction with the observed time to the
+   first token, `took_us`. */
+WPWaitPrediction wp_balancer_predict(const WPEndpoint *e, int64_t now_us);
+void wp_balancer_learn(WPBalancer *b, const WPWaitPrediction *f,
+                       int64_t took_us);
 
+/* Records a request sent to the endpoint, a load report from its agent, and
+   the first token of an answer, `took_us` after the request was sent. */
 void wp_endpoint_sent(WPEndpoint *e, int64_t now_us);
-void wp_endpoint_load(WPEndpoint *e, const Wp__Load *l, int64_t now_us);
-void wp_endpoint_first(WPEndpoint *e, int64_t took_us);
+void wp_endpoint_update_load(WPEndpoint *e, const Wp__Load *l, int64_t now_us);
+void wp_endpoint_first_token(WPEndpoint *e, int64_t took_us);
 
-/* `ok` tells whether the endpoint did its work. A run of failures sets it
-   aside for a time that doubles; returns whether that happened now. */
+/* A request has ended at the endpoint after `took_us`; `ok`: the endpoint did
+   its work. Several failures in a row eject the endpoint, for a time that
+   doubles with each ejection. Returns true if it was ejected now. */
 bool wp_endpoint_ended(WPEndpoint *e, bool ok, int64_t took_us, int64_t now_us);
 
-/* It answered `not run`, to come back after `retry_ms`. */
+/* The endpoint refused a request without running it and asked for a retry
+   after `retry_ms`. */
 void wp_endpoint_refused(WPEndpoint *e, uint32_t retry_ms, int64_t now_us);
 
 #endif
--- a/src/wp_box_news.c
+++ b/src/wp_box_news.c
@@ -94,7 +94,7 @@
     g_array_append_val(n->load_waiting, waiting);
 }
 
-void wp_box_news_kept(WPBoxNews *n, const WPKeptNews *kept)
+void wp_box_news_kept(WPBoxNews *n, const WPCachedPrefixUpdate *kept)
 {
     if (!has_room(n, n->kept_at))
         return;
@@ -185,7 +185,7 @@
 {
     size_t n = MIN(m->n_sent_to, m->n_sent_ms);
     return odd(m->n_sent_to, m->n_sent_ms, n) +
-           hear_reading(f, now, m->sent_to, m->sent_ms, n, wp_fleet_hear_sent);
+           hear_reading(f, now, m->sent_to, m->sent_ms, n, wp_fleet_merge_sent);
 }
 
 static unsigned hear_began(WPFleet *f, WPTime now, const Wp__BoxNews *m)
@@ -193,7 +193,7 @@
     size_t n = MIN(m->n_began_at, m->n_began_ms);
     return odd(m->n_began_at, m->n_began_ms, n) +
            hear_reading(f, now, m->began_at, m->began_ms, n,
-                        wp_fleet_hear_began);
+                        wp_fleet_merge_first_byte);
 }
 
 static unsigned hear_load(WPFleet *f, WPTime now, const Wp__BoxNews *m)
@@ -206,7 +206,7 @@
         if (running > LOAD_MOST || waiting > LOAD_MOST)
             bad++;
         else if (s)
-            wp_fleet_hear_load(s, now, running, waiting);
+            wp_fleet_merge_load(s, now, running, waiting);
     }
     return bad;
 }
@@ -215,9 +215,9 @@
 {
     size_t n = MIN(m->n_kept_at, MIN(m->n_kept_prefix, m->n_kept_tokens));
     for (size_t i = 0; i < n; i++) {
-        const WPKeptNews k = { m->kept_at[i], m->kept_prefix[i],
-                               m->kept_tokens[i] };
-        wp_fleet_hear_kept(f, now, &k);
+        const WPCachedPrefixUpdate k = { m->kept_at[i], m->kept_prefix[i],
+                                         m->kept_tokens[i] };
+        wp_fleet_merge_cached_prefix(f, now, &k);
     }
     return odd(m->n_kept_at, m->n_kept_prefix, m->n_kept_tokens);
 }
--- a/src/wp_box_news.h
+++ b/src/wp_box_news.h
@@ -33,7 +33,7 @@
 void wp_box_news_began(WPBoxNews *n, uint64_t replica, double reading_us);
 void wp_box_news_load(WPBoxNews *n, uint64_t replica, uint32_t running,
                       uint32_t waiting);
-void wp_box_news_kept(WPBoxNews *n, const WPKeptNews *kept);
+void wp_box_news_kept(WPBoxNews *n, const WPCachedPrefixUpdate *kept);
 void wp_box_news_asked(WPBoxNews *n, const WPDemandNews *asked);
 
 bool wp_box_news_any(const WPBoxNews *n);
--- a/src/wp_choose.c
+++ b/src/wp_choose.c
@@ -1,12 +1,13 @@
-/* Policies that choose a version. */
+/* Policies that choose the version for a request. */
 #include "wp_choose.h"
 
 #include <math.h>
 
-/* What asking for a check of one answer costs, as a share of a typical cheap
-   answer; it keeps a cascade from being chosen for next to no gain. */
+/* Cost of having one answer checked, as a share of a typical cheap answer;
+   prevents cascades with a negligible gain. */
 #define CHECK_COST_SHARE 0.02
-/* A version less likely than this to be good enough is not tried. */
+/* Versions with a lower chance of meeting the quality target are not
+   explored. */
 #define EXPLORE_CHANCE 0.05
 
 double wp_version_cost(const WPVersion *v, uint32_t prompt_tokens,
@@ -17,23 +18,24 @@
            1000;
 }
 
-static const WPBound *bound(const WPChoice *c, unsigned i)
+static const WPBound *bound(const WPVersionQuery *c, unsigned i)
 {
     unsigned n = wp_policy_versions(c->policy);
-    return &c->table[c->kind->index * n + i];
+    return &c->bounds[c->kind->index * n + i];
 }
 
-static double cost(const WPChoice *c, unsigned i)
+static double cost(const WPVersionQuery *c, unsigned i)
 {
     return wp_version_cost(wp_policy_version_at(c->policy, i), c->prompt_tokens,
                            c->answer_tokens);
 }
 
-/* The allowed version with the least `key`; -1 if none passes `test`. */
-typedef double (*KeyFn)(const WPChoice *c, unsigned i);
-typedef bool (*TestFn)(const WPChoice *c, unsigned i);
+typedef double (*KeyFn)(const WPVersionQuery *c, unsigned i);
+typedef bool (*TestFn)(const WPVersionQuery *c, unsigned i);
 
-static int least(const WPChoice *c, KeyFn key, TestFn test)
+/* The allowed version with the lowest `key` of those that pass `test` (NULL:
+   all); -1 if there is none. */
+static int min_version(const WPVersionQuery *c, KeyFn key, TestFn test)
 {
     int best = -1;
     double best_key = 0;
@@ -49,46 +51,47 @@
     return best;
 }
 
-static double weakness(const WPChoice *c, unsigned i)
+static double weakness(const WPVersionQuery *c, unsigned i)
 {
     return -bound(c, i)->low;
 }
 
-static double prior_weakness(const WPChoice *c, unsigned i)
+static double prior_weakness(const WPVersionQuery *c, unsigned i)
 {
     return -wp_policy_version_at(c->policy, i)->spec->quality_prior;
 }
 
-static double target(const WPChoice *c)
+static double target(const WPVersionQuery *c)
 {
     return c->kind->spec->quality_target;
 }
 
-static bool sure(const WPChoice *c, unsigned i)
+static bool is_qualified(const WPVersionQuery *c, unsigned i)
 {
     return bound(c, i)->low >= target(c);
 }
 
-static bool sure_and_free(const WPChoice *c, unsigned i)
+static bool is_qualified_and_free(const WPVersionQuery *c, unsigned i)
 {
-    return sure(c, i) && !wp_set_has(&c->busy, i);
+    return is_qualified(c, i) && !wp_set_has(&c->busy, i);
 }
 
-/* Cheapest that surely meets the target and has room; else that surely meets
-   it; else the one with the best lower bound. */
-static int best_version(const WPChoice *c)
+/* The cheapest qualified version (one whose lower quality bound meets the
+   target) with a free slot; else the cheapest qualified one; else the one with
+   the highest lower bound. */
+static int best_version(const WPVersionQuery *c)
 {
-    int best = least(c, cost, sure_and_free);
+    int best = min_version(c, cost, is_qualified_and_free);
     if (best < 0)
-        best = least(c, cost, sure);
+        best = min_version(c, cost, is_qualified);
     if (best < 0)
-        best = least(c, weakness, NULL);
+        best = min_version(c, weakness, NULL);
     return best;
 }
 
-/* How likely the version is to meet the target, by a normal law over its
-   bounds. */
-static double chance(const WPChoice *c, unsigned i)
+/* The chance that the version meets the target, assuming a normal distribution
+   with these bounds. */
+static double target_chance(const WPVersionQuery *c, unsigned i)
 {
     const WPBound *b = bound(c, i);
     double spread = (b->high - b->low) / (2 * WP_QUALITY_Z);
@@ -97,50 +100,54 @@
     return 0.5 * erfc((target(c) - b->mean) / spread / M_SQRT2);
 }
 
-/* What is learned best: the version with the largest saving times its chance
-   to be good enough; -1 when none is worth it. */
-static int explore(const WPChoice *c, int best)
+/* The version most worth exploring: the one with the largest cost saving,
+   times its chance of meeting the target. -1 if there is none, or if this
+   request is not used for exploration. */
+static int explored_version(const WPVersionQuery *c, int best)
 {
     int other = -1;
-    double most = 0;
+    double best_gain = 0;
     if (c->kind->spec->strict || !c->may_explore ||
-        c->u >= c->kind->spec->explore_share)
+        c->random >= c->kind->spec->explore_share)
         return -1;
     for (unsigned i = 0; i < wp_policy_versions(c->policy); i++) {
         double saving = cost(c, (unsigned)best) - cost(c, i);
         if (!wp_set_has(&c->allowed, i) || wp_set_has(&c->busy, i) ||
-            sure(c, i) || chance(c, i) < EXPLORE_CHANCE)
+            is_qualified(c, i) || target_chance(c, i) < EXPLORE_CHANCE)
             continue;
-        if (saving * chance(c, i) <= most)
+        if (saving * target_chance(c, i) <= best_gain)
             continue;
-        most = saving * chance(c, i);
+        best_gain = saving * target_chance(c, i);
         other = (int)i;
     }
     return other;
 }
 
-/* A cheap first leg pays when cheap + check + p(fail) * strong < strong. */
-static bool cascade_pays(const WPChoice *c, unsigned cheap, unsigned strong)
+/* Asking a cheap version first pays if cheap + check + p(fail) * strong <
+   strong. */
+static bool cascade_pays(const WPVersionQuery *c, unsigned cheap,
+                         unsigned strong)
 {
     double a = cost(c, cheap);
     double b = cost(c, strong);
     return a * (1 + CHECK_COST_SHARE) + (1 - bound(c, cheap)->mean) * b < b;
 }
 
-static WPChosen choose_cost(const WPChooser *self, const WPChoice *c)
+static WPVersionChoice choose_cost(const WPChooser *self,
+                                   const WPVersionQuery *c)
 {
-    WPChosen out = { best_version(c), -1, false };
+    WPVersionChoice out = { best_version(c), -1, false };
     (void)self;
     if (out.version < 0)
         return out;
-    int other = explore(c, out.version);
+    int other = explored_version(c, out.version);
     if (other >= 0) {
         out.version = other;
         out.explored = true;
         return out;
     }
     const Wp__Kind *k = c->kind->spec;
-    int cheap = least(c, cost, NULL);
+    int cheap = min_version(c, cost, NULL);
     if (k->cascade && k->repeatable && cheap != out.version &&
         cascade_pays(c, (unsigned)cheap, (unsigned)out.version)) {
         out.escalate = out.version;
@@ -149,28 +156,31 @@
     return out;
 }
 
-static WPChosen choose_strongest(const WPChooser *self, const WPChoice *c)
+static WPVersionChoice choose_strongest(const WPChooser *self,
+                                        const WPVersionQuery *c)
 {
     (void)self;
-    return (WPChosen){ least(c, prior_weakness, NULL), -1, false };
+    return (WPVersionChoice){ min_version(c, prior_weakness, NULL), -1, false };
 }
 
-static WPChosen choose_cheapest(const WPChooser *self, const WPChoice *c)
+static WPVersionChoice choose_cheapest(const WPChooser *self,
+                                       const WPVersionQuery *c)
 {
     (void)self;
-    return (WPChosen){ least(c, cost, NULL), -1, false };
+    return (WPVersionChoice){ min_version(c, cost, NULL), -1, false };
 }
 
-/* Equal shares of what is allowed. */
-static WPChosen choose_static(const WPChooser *self, const WPChoice *c)
+/* Equal shares of requests for all allowed versions. */
+static WPVersionChoice choose_static(const WPChooser *self,
+                                     const WPVersionQuery *c)
 {
     unsigned n = wp_set_count(&c->allowed);
-    unsigned k = (unsigned)(c->u * n);
+    unsigned k = (unsigned)(c->random * n);
     (void)self;
     for (unsigned i = 0; i < wp_policy_versions(c->policy); i++)
         if (wp_set_has(&c->allowed, i) && k-- == 0)
-            return (WPChosen){ (int)i, -1, false };
-    return (WPChosen){ -1, -1, false };
+            return (WPVersionChoice){ (int)i, -1, false };
+    return (WPVersionChoice){ -1, -1, false };
 }
 
 static const WPChooserOps ops[] = {
--- a/src/wp_choose.h
+++ b/src/wp_choose.h
@@ -1,41 +1,45 @@
-/* Which version answers: policies behind one small table of functions, so
- * that the product's own and the baselines are measured alike. */
+/* Choice of the version that serves a request. Policies share one table of
+ * functions, so that the product's own and the baselines are benchmarked
+ * alike. */
 #ifndef WP_CHOOSE_H
 #define WP_CHOOSE_H
 
 #include "wp_quality.h"
 
-typedef struct WPChoice {
+/* The request that a version is chosen for. */
+typedef struct WPVersionQuery {
     const WPPolicy *policy;
     const WPKind *kind;
-    const WPBound *table;   /* from wp_quality_table() */
-    WPSet allowed;          /* not empty */
-    WPSet busy;             /* versions without a free place now */
+    const WPBound *bounds;  /* from wp_quality_table() */
+    WPSet allowed;          /* versions that may serve the request; not empty */
+    WPSet busy;             /* versions without a free slot now */
     uint32_t prompt_tokens; /* expected */
     uint32_t answer_tokens; /* expected */
-    double u;               /* uniform in [0, 1) */
-    bool may_explore;       /* the workspace has room for it */
-} WPChoice;
-
-typedef struct WPChosen {
-    int version;  /* index, or -1 */
-    int escalate; /* the stronger version to try if a check fails, or -1 */
+    double random;          /* uniform in [0, 1) */
+    bool may_explore; /* the workspace's share of exploration is not used up */
+} WPVersionQuery;
+
+/* The version chosen. */
+typedef struct WPVersionChoice {
+    int version;  /* index in the policy, or -1 */
+    int escalate; /* index of the stronger version to try if a check fails, or
+                     -1 */
     bool explored;
-} WPChosen;
+} WPVersionChoice;
 
 typedef struct WPChooser WPChooser;
 
 typedef struct WPChooserOps {
     const char *name;
-    WPChosen (*choose)(const WPChooser *self, const WPChoice *c);
+    WPVersionChoice (*choose)(const WPChooser *self, const WPVersionQuery *c);
 } WPChooserOps;
 
 struct WPChooser {
     const WPChooserOps *ops;
 };
 
-/* "cost" (the product's), "strongest", "cheapest" or "static"; NULL for
-   another name. The tables are constant and need no freeing. */
+/* Returns the policy "cost" (the product's own), "strongest", "cheapest" or
+   "static"; NULL for another name. The result is constant and is not freed. */
 const WPChooser *wp_chooser(const char *name);
 
 /* Expected cost of one answer, in the configuration's units. */
--- a/src/wp_direct.c
+++ b/src/wp_direct.c
@@ -23,10 +23,10 @@
     memset(d, 0, sizeof(*d));
     d->rules = *rules;
     d->boxes = 1;
-    wp_earned_init(&d->earned);
+    wp_value_rate_init(&d->earned);
     wp_pauses_init(&d->pauses);
     d->fleet = wp_fleet_new(seed);
-    wp_fleet_rules(d->fleet, &rules->fleet);
+    wp_fleet_set_rules(d->fleet, &rules->fleet);
     d->shifts = wp_shifts_new(chart);
     d->suspects = wp_suspects_new(rules->box);
     d->budgets = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -62,7 +62,8 @@
     d->routes = t;
     for (guint i = 0; i < t->services->len; i++) {
         const WPService *s = g_ptr_array_index(t->services, i);
-        wp_fleet_set_cold(d->fleet, s->name, s->cold_per_s, s->cold_start_s);
+        wp_fleet_set_cold_rule(d->fleet, s->name, s->cold_per_s,
+                               s->cold_start_s);
     }
     wp_count(&d->counters, WP_C_CONFIG_CHANGES);
     return true;
@@ -118,21 +119,21 @@
     return v;
 }
 
-WPSpeed *wp_direct_speed(WPDirect *d, const char *what, WPStr model)
+WPTtfbModel *wp_direct_speed(WPDirect *d, const char *what, WPStr model)
 {
-    return need_value(d->speeds, what, model, sizeof(WPSpeed));
+    return need_value(d->speeds, what, model, sizeof(WPTtfbModel));
 }
 
-WPUsual *wp_direct_usual(WPDirect *d, const char *what, WPStr model)
+WPQuartiles *wp_direct_usual(WPDirect *d, const char *what, WPStr model)
 {
-    return need_value(d->usual, what, model, sizeof(WPUsual));
+    return need_value(d->usual, what, model, sizeof(WPQuartiles));
 }
 
-WPQualitySeen *wp_direct_quality(WPDirect *d, const char *route)
+WPGoodShare *wp_direct_quality(WPDirect *d, const char *route)
 {
-    WPQualitySeen *q = g_hash_table_lookup(d->quality, route);
+    WPGoodShare *q = g_hash_table_lookup(d->quality, route);
     if (!q) {
-        q = g_new0(WPQualitySeen, 1);
+        q = g_new0(WPGoodShare, 1);
         g_hash_table_insert(d->quality, g_strdup(route), q);
     }
     return q;
--- a/src/wp_direct.h
+++ b/src/wp_direct.h
@@ -44,7 +44,7 @@
     GHashTable *usual;    /* service or route, and model -> usual times */
     GHashTable *quality;  /* route -> how good the smallest model's are */
     double lag;           /* recent first bytes, as a part of their aim */
-    WPEarned earned;
+    WPValueRate earned;
     WPPauses pauses;
     int64_t swept_us;
     GRand *rand;
@@ -124,7 +124,7 @@
     uint32_t retry_ms;       /* when to come back; 0: not told */
     const WPReplica *barred; /* FAIL: the endpoint that would take it first;
                                 valid at once only; NULL: none */
-    WPBar bar;               /* what keeps it from there */
+    WPExclusion bar;         /* what keeps it from there */
 } WPMove;
 
 /* The head of an endpoint's answer, decoded. */
@@ -160,7 +160,7 @@
     bool heard;        /* its first byte has come */
     bool crowded;      /* its endpoint was so full, or so new, that it may be
                           slow */
-    WPWork work;       /* before the first byte, as believed when it was sent */
+    WPTtfbInputs work; /* before the first byte, as believed when it was sent */
     double expect_us;  /* what was foretold from that; 0: nothing */
     double reading_us; /* of its own prompt, of that */
     double taken;      /* share of its endpoint's places when it was sent */
@@ -176,7 +176,7 @@
     const WPService *service;
     char *id, *model;
     const char *workspace;  /* NULL: anonymous */
-    const GPtrArray *areas; /* of its caller; see WPWant */
+    const GPtrArray *areas; /* of its caller; see WPEndpointQuery */
     int priority;
     uint64_t session;
     uint64_t hash; /* of caller, method, host, path and body: the same for each
--- a/src/wp_direct_int.h
+++ b/src/wp_direct_int.h
@@ -3,7 +3,7 @@
 #define WP_DIRECT_INT_H
 
 #include "wp_direct.h"
-#include "wp_speed.h"
+#include "wp_latency.h"
 
 /* Which version served a session last. */
 typedef struct WPSessionSeen {
@@ -23,9 +23,9 @@
 
 WPBudget *wp_direct_budget(WPDirect *d, const char *service);
 /* `what` is a service, for streams, or a route, for whole answers. */
-WPSpeed *wp_direct_speed(WPDirect *d, const char *what, WPStr model);
-WPUsual *wp_direct_usual(WPDirect *d, const char *what, WPStr model);
-WPQualitySeen *wp_direct_quality(WPDirect *d, const char *route);
+WPTtfbModel *wp_direct_speed(WPDirect *d, const char *what, WPStr model);
+WPQuartiles *wp_direct_usual(WPDirect *d, const char *what, WPStr model);
+WPGoodShare *wp_direct_quality(WPDirect *d, const char *route);
 
 /* A session's place in [0, 1), the same at every box, and its place in a move:
    below the stage's share it goes to the new version. */
--- /dev/null
+++ b/src/wp_engine_cost.c
@@ -0,0 +1,94 @@
+/* Cost of a request at an engine. */
+#include "wp_engine_cost.h"
+
+#define KILO 1000.0
+
+static const WPCacheHolder *holder_of(const WPCacheHolders *k,
+                                      const char *version)
+{
+    for (unsigned i = 0; i < k->n; i++)
+        if (!strcmp(k->by_version[i].replica->version, version))
+            return &k->by_version[i];
+    return NULL;
+}
+
+static void note_holder(WPCacheHolders *k, const WPReplica *s, uint32_t tokens)
+{
+    WPCacheHolder *holder = (WPCacheHolder *)holder_of(k, s->version);
+    if (!holder && k->n < WP_CACHE_HOLDERS_MAX)
+        k->by_version[k->n++] = (WPCacheHolder){ s, tokens };
+    else if (holder && tokens > holder->tokens)
+        *holder = (WPCacheHolder){ s, tokens };
+}
+
+void wp_cache_holders_find(WPCacheHolders *k, WPTime now,
+                           const WPEndpointQuery *q, const GPtrArray *list)
+{
+    k->n = 0;
+    for (guint i = 0; q->prompt && i < list->len; i++) {
+        const WPReplica *s = g_ptr_array_index(list, i);
+        uint32_t tokens =
+            wp_prefix_cache_match(s->prefix_cache, now, q->model, q->prompt);
+        k->cached_tokens[i] = tokens;
+        bool is_avoided = s->zone_evacuated || wp_fleet_limit_of(s) > 0 ||
+                          wp_fleet_is_backing_off(s, now);
+        /* A prefix must not be copied from an endpoint outside the request's
+           areas either. */
+        bool allowed = wp_fleet_in_areas(q, s);
+        if (tokens && allowed && !s->unreachable && !s->unreadable &&
+            !is_avoided)
+            note_holder(k, s, tokens);
+    }
+}
+
+/* Cost of the running streams expected to stall for longer than the limit
+   while the engine prefills this prompt, beyond those that would stall without
+   it. */
+static double stall_cost(const WPEndpointQuery *q, const WPTtfbInputs *inputs)
+{
+    if (!q->stalls || !q->ttfb || inputs->load <= 0)
+        return 0;
+    double prefill_us = wp_ttfb_predict_prefill(q->ttfb, inputs);
+    double before =
+        wp_pauses_chance(q->stalls, inputs->queued_prefill_us, q->max_stall_us);
+    double after = wp_pauses_chance(
+        q->stalls, inputs->queued_prefill_us + prefill_us, q->max_stall_us);
+    return q->stall_weight * inputs->load * MAX(0, after - before);
+}
+
+static double cost_of(const WPFleetRules *r, const WPEndpointQuery *q,
+                      const WPTtfbInputs *inputs)
+{
+    double us = q->ttfb ? wp_ttfb_predict(q->ttfb, inputs) : 0;
+    uint32_t own_tokens =
+        inputs->prompt_tokens - wp_prompt_shared_tokens(q->prompt);
+    uint32_t repeated = inputs->uncached_tokens > own_tokens
+                            ? inputs->uncached_tokens - own_tokens
+                            : 0;
+    return q->ttfb_weight * us / WP_US_PER_S +
+           r->prefill_weight_per_kt * repeated / KILO + stall_cost(q, inputs);
+}
+
+WPEngineCost wp_engine_cost(const WPFleetRules *r, WPTime now,
+                            const WPEndpointQuery *q, const WPReplica *s,
+                            uint32_t cached, const WPCacheHolders *holders)
+{
+    WPEngineCost prefill = {
+        .inputs = { .prompt_tokens = q->prompt->tokens,
+                    .uncached_tokens = q->prompt->tokens - cached,
+                    .load = wp_fleet_load_of(s, now),
+                    .queued_prefill_us = wp_fleet_queued_prefill_us(s, now),
+                    .slowdown = s->reported.pace }
+    };
+    prefill.cost = cost_of(r, q, &prefill.inputs);
+    const WPCacheHolder *k = holder_of(holders, s->version);
+    if (!r->transfer_weight_per_kt || !k || k->replica == s ||
+        k->tokens <= cached)
+        return prefill;
+    WPEngineCost transfer = prefill;
+    transfer.inputs.uncached_tokens = q->prompt->tokens - k->tokens;
+    transfer.source = k->replica;
+    transfer.cost = cost_of(r, q, &transfer.inputs) +
+                    r->transfer_weight_per_kt * (k->tokens - cached) / KILO;
+    return transfer.cost < prefill.cost ? transfer : prefill;
+}
--- a/src/wp_entry.c
+++ b/src/wp_entry.c
@@ -295,7 +295,7 @@
     else
         wp_endpoint_refused(r->endpoint, full ? retry_ms : 0, now.mono_us);
     if (code == WP_LEAVING)
-        r->endpoint->leaving = true;
+        r->endpoint->draining = true;
     /* The agent knew a newer configuration: choose again under it. */
     if (code == WP_VERSION_REFUSED && wp_plan_version(e, now, r) != WP_OK) {
         r->sent = false;
@@ -322,7 +322,7 @@
     if (r->answered)
         return;
     r->answered = true;
-    wp_endpoint_first(r->endpoint, now.mono_us - r->sent_us);
+    wp_endpoint_first_token(r->endpoint, now.mono_us - r->sent_us);
     wp_balancer_learn(e->balancer, &r->foretold, now.mono_us - r->sent_us);
     wp_histogram_add(&wp_node_counters(e->node)->first_token,
                      now.mono_us - r->begun_us);
--- a/src/wp_entry.h
+++ b/src/wp_entry.h
@@ -43,7 +43,7 @@
     bool ask_rating; /* its rating is worth asking for */
     unsigned leg, step;
     WPEndpoint *endpoint;
-    WPForetold foretold; /* the present leg's wait */
+    WPWaitPrediction foretold; /* the present leg's wait */
     WPEndpoint *tried[WP_REQUEST_TRIES];
     unsigned n_tried;
     bool sent, accepted, answered; /* of the present leg */
--- a/src/wp_fleet.c
+++ b/src/wp_fleet.c
@@ -1,12 +1,13 @@
-/* The fleet of endpoints that are called directly: which there are. */
+/* The table of endpoints that are called directly. */
 #include "wp_fleet_int.h"
 
 enum {
-    LIST_GRACE_US = 2500 * WP_US_PER_MS /* for entries that lapsed while the
-                                           list was away */
+    /* How long an endpoint is kept whose registry entry expired while the
+       registry was unreachable. */
+    REGISTRY_GRACE_US = 2500 * WP_US_PER_MS
 };
 
-void wp_fleet_release(WPReplica *s)
+void wp_replica_unref(WPReplica *s)
 {
     if (--s->refs > 0)
         return;
@@ -15,18 +16,18 @@
     g_free(s->addr);
     g_free(s->zone);
     g_free(s->version);
-    wp_kept_free(s->kept);
-    g_free(s->said.limit);
+    wp_prefix_cache_free(s->prefix_cache);
+    g_free(s->reported.limit);
     g_free(s);
 }
 
-WPReplica *wp_fleet_hold(WPReplica *s)
+WPReplica *wp_replica_ref(WPReplica *s)
 {
     s->refs++;
     return s;
 }
 
-void wp_fleet_rules(WPFleet *f, const WPFleetRules *rules)
+void wp_fleet_set_rules(WPFleet *f, const WPFleetRules *rules)
 {
     f->rules = *rules;
     wp_pace_boxes_changed(&f->boxes);
@@ -36,21 +37,24 @@
 {
     WPFleet *f = g_new0(WPFleet, 1);
     f->cohorts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    f->by_load = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    f->answers_by_load =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     f->by_id = g_hash_table_new(g_str_hash, g_str_equal);
     f->by_service = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
                                           (GDestroyNotify)g_ptr_array_unref);
     f->by_hash = g_hash_table_new(g_int64_hash, g_int64_equal);
-    f->zones_out = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    f->evacuated_zones =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     f->areas = g_hash_table_new(g_str_hash, g_str_equal);
     f->cold = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     wp_pace_boxes_init(&f->boxes);
-    f->untold = g_array_new(FALSE, FALSE, sizeof(WPKeptNews));
+    f->unsent_prefixes =
+        g_array_new(FALSE, FALSE, sizeof(WPCachedPrefixUpdate));
     f->limited = g_ptr_array_new();
-    f->leaving = g_ptr_array_new();
-    f->resting = g_ptr_array_new();
-    f->rested_by = g_ptr_array_new();
-    f->unlisted =
+    f->draining = g_ptr_array_new();
+    f->backing_off = g_ptr_array_new();
+    f->unsent_backoffs = g_ptr_array_new();
+    f->unregistered =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
     f->early_limits =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
@@ -71,22 +75,22 @@
         return;
     g_hash_table_iter_init(&it, f->by_id);
     while (g_hash_table_iter_next(&it, NULL, &s))
-        wp_fleet_release(s);
+        wp_replica_unref(s);
     g_hash_table_unref(f->by_id);
     g_hash_table_unref(f->by_service);
-    g_hash_table_unref(f->by_load);
+    g_hash_table_unref(f->answers_by_load);
     g_hash_table_unref(f->cohorts);
     g_hash_table_unref(f->by_hash);
-    g_hash_table_unref(f->zones_out);
+    g_hash_table_unref(f->evacuated_zones);
     g_hash_table_unref(f->areas);
     g_hash_table_unref(f->cold);
     wp_pace_boxes_end(&f->boxes);
-    g_array_unref(f->untold);
+    g_array_unref(f->unsent_prefixes);
     g_ptr_array_unref(f->limited);
-    g_ptr_array_unref(f->leaving);
-    g_ptr_array_unref(f->resting);
-    g_ptr_array_unref(f->rested_by);
-    g_hash_table_unref(f->unlisted);
+    g_ptr_array_unref(f->draining);
+    g_ptr_array_unref(f->backing_off);
+    g_ptr_array_unref(f->unsent_backoffs);
+    g_hash_table_unref(f->unregistered);
     g_hash_table_unref(f->early_limits);
     g_hash_table_unref(f->limit_sums);
     g_hash_table_unref(f->refusals);
@@ -95,7 +99,7 @@
     g_free(f);
 }
 
-GPtrArray *wp_fleet_of_service(WPFleet *f, const char *service)
+GPtrArray *wp_fleet_service_endpoints(WPFleet *f, const char *service)
 {
     GPtrArray *list = g_hash_table_lookup(f->by_service, service);
     if (!list) {
@@ -105,12 +109,12 @@
     return list;
 }
 
-/* Boxes name lives to each other by this. */
-static uint64_t life_hash(const WPReplica *s)
+/* Identifies an incarnation in messages between boxes. */
+static uint64_t hash_incarnation(const WPReplica *s)
 {
-    if (!s->born_ms)
+    if (!s->started_ms)
         return s->id_hash;
-    return wp_hash(wp_strn((const char *)&s->born_ms, sizeof(s->born_ms)),
+    return wp_hash(wp_strn((const char *)&s->started_ms, sizeof(s->started_ms)),
                    s->id_hash);
 }
 
@@ -124,8 +128,8 @@
     return r;
 }
 
-void wp_fleet_set_cold(WPFleet *f, const char *service, double per_s,
-                       double start_s)
+void wp_fleet_set_cold_rule(WPFleet *f, const char *service, double per_s,
+                            double start_s)
 {
     WPColdRule *r = cold_rule(f, service);
     if (r->per_s != per_s)
@@ -135,9 +139,9 @@
 }
 
 void wp_fleet_set_boxes(WPFleet *f, const WPPaceBox *self,
-                        const WPPaceBox *others, size_t n, unsigned least)
+                        const WPPaceBox *others, size_t n, unsigned min)
 {
-    wp_pace_boxes_set(&f->boxes, self, others, n, least);
+    wp_pace_boxes_set(&f->boxes, self, others, n, min);
 }
 
 static WPReplica *add(WPFleet *f, const WPListing *l)
@@ -149,66 +153,69 @@
     s->addr = g_strdup(l->addr);
     s->zone = g_strdup(l->zone);
     s->version = g_strdup(l->version);
-    s->born_ms = l->born_ms;
+    s->started_ms = l->born_ms;
     s->cohort = wp_fleet_cohort(f, s);
     s->cold = cold_rule(f, s->service);
-    s->far = f->rules.own_zone && strcmp(f->rules.own_zone, s->zone);
-    s->zone_out = g_hash_table_contains(f->zones_out, s->zone);
+    s->remote_zone = f->rules.own_zone && strcmp(f->rules.own_zone, s->zone);
+    s->zone_evacuated = g_hash_table_contains(f->evacuated_zones, s->zone);
     s->area = g_hash_table_lookup(f->areas, s->zone);
-    s->slowness = 1;
-    s->kept = wp_kept_new();
+    s->latency_ratio = 1;
+    s->prefix_cache = wp_prefix_cache_new();
     s->id_hash = wp_hash(wp_str(s->id), 0);
-    s->life_hash = life_hash(s);
+    s->incarnation_hash = hash_incarnation(s);
     g_hash_table_insert(f->by_id, s->id, s);
     g_hash_table_insert(f->by_hash, &s->id_hash, s);
-    g_hash_table_insert(f->by_hash, &s->life_hash, s);
-    g_ptr_array_add(wp_fleet_of_service(f, s->service), s);
+    g_hash_table_insert(f->by_hash, &s->incarnation_hash, s);
+    g_ptr_array_add(wp_fleet_service_endpoints(f, s->service), s);
     return s;
 }
 
-static void forget(WPFleet *f, WPReplica *s)
+static void remove_endpoint(WPFleet *f, WPReplica *s)
 {
     s->gone = true;
     wp_fleet_forget_limit(f, s);
     wp_fleet_forget_notices(f, s);
     g_hash_table_remove(f->by_id, s->id);
     g_hash_table_remove(f->by_hash, &s->id_hash);
-    g_hash_table_remove(f->by_hash, &s->life_hash);
-    g_ptr_array_remove_fast(wp_fleet_of_service(f, s->service), s);
-    wp_fleet_release(s);
+    g_hash_table_remove(f->by_hash, &s->incarnation_hash);
+    g_ptr_array_remove_fast(wp_fleet_service_endpoints(f, s->service), s);
+    wp_replica_unref(s);
 }
 
-/* The list has it no more; the same life may come back. */
-static void unlist(WPFleet *f, WPTime now, WPReplica *s)
+/* Removes an endpoint whose registry entry is gone. The same incarnation may
+   be registered again. */
+static void unregister(WPFleet *f, WPTime now, WPReplica *s)
 {
-    wp_fleet_keep_notices(f, now, s);
-    forget(f, s);
+    wp_fleet_save_notices(f, now, s);
+    remove_endpoint(f, s);
 }
 
-/* Of a start that is over, as another listing has told. */
-static bool is_late(const WPReplica *s, const WPListing *l)
+/* Whether the entry is from an earlier start than the one that is known. */
+static bool is_outdated(const WPReplica *s, const WPListing *l)
 {
-    return l->born_ms && l->born_ms < s->born_ms;
+    return l->born_ms && l->born_ms < s->started_ms;
 }
 
-static bool is_new_life(const WPReplica *s, const WPListing *l)
+static bool is_new_incarnation(const WPReplica *s, const WPListing *l)
 {
-    return l->born_ms > s->born_ms || strcmp(s->addr, l->addr) ||
+    return l->born_ms > s->started_ms || strcmp(s->addr, l->addr) ||
            strcmp(s->zone, l->zone) || strcmp(s->service, l->service);
 }
 
-/* The same life, told of anew. */
+/* Takes a new registry entry of the same incarnation; returns true if it
+   changes what is known. */
 static bool update(WPFleet *f, WPReplica *s, const WPListing *l)
 {
     bool other_version = strcmp(s->version, l->version) != 0;
-    bool changed = other_version || (!s->said.leaving.from && l->draining) ||
-                   s->missing_us || s->unreadable;
+    bool changed = other_version ||
+                   (!s->reported.leaving.from && l->draining) ||
+                   s->missing_since_us || s->unreadable;
     if (other_version) {
         g_free(s->version);
         s->version = g_strdup(l->version);
         s->cohort = wp_fleet_cohort(f, s);
     }
-    s->missing_us = 0;
+    s->missing_since_us = 0;
     s->unreadable = false;
     return changed;
 }
@@ -218,23 +225,24 @@
     WPReplica *s = wp_fleet_find(f, l->id);
     if (!f->start_us)
         f->start_us = now.mono_us;
-    if (s && is_late(s, l))
+    if (s && is_outdated(s, l))
         return false;
-    if (s && is_new_life(s, l)) {
-        forget(f, s);
+    if (s && is_new_incarnation(s, l)) {
+        remove_endpoint(f, s);
         s = NULL;
     }
     bool changed = s ? update(f, s, l) : true;
     if (!s) {
         s = add(f, l);
-        wp_fleet_take_early_limit(f, now, s);
-        wp_fleet_take_notices(f, s);
+        wp_fleet_merge_early_limit(f, now, s);
+        wp_fleet_restore_notices(f, s);
     }
     s->slots = (uint32_t)l->slots;
-    /* What is leaving does not come back in the same life. */
-    if (l->draining && !s->said.leaving.from)
-        s->said.leaving.from = WP_FROM_LIST;
-    s->said.cold_until_us = now.mono_us + l->cold_left_ms * WP_US_PER_MS;
+    /* A draining endpoint does not return to service in the same
+       incarnation. */
+    if (l->draining && !s->reported.leaving.from)
+        s->reported.leaving.from = WP_FROM_LIST;
+    s->reported.cold_until_us = now.mono_us + l->cold_left_ms * WP_US_PER_MS;
     return changed;
 }
 
@@ -259,72 +267,74 @@
     }
 }
 
-bool wp_fleet_set_zone_out(WPFleet *f, WPTime now, const char *zone, bool out)
+bool wp_fleet_set_zone_evacuated(WPFleet *f, WPTime now, const char *zone,
+                                 bool evacuated)
 {
-    bool was = g_hash_table_contains(f->zones_out, zone);
+    bool was = g_hash_table_contains(f->evacuated_zones, zone);
     GHashTableIter it;
     gpointer p;
-    if (was == out)
+    if (was == evacuated)
         return false;
-    if (out)
-        g_hash_table_add(f->zones_out, g_strdup(zone));
+    if (evacuated)
+        g_hash_table_add(f->evacuated_zones, g_strdup(zone));
     else
-        g_hash_table_remove(f->zones_out, zone);
+        g_hash_table_remove(f->evacuated_zones, zone);
     g_hash_table_iter_init(&it, f->by_id);
     while (g_hash_table_iter_next(&it, NULL, &p)) {
         WPReplica *s = p;
         if (strcmp(s->zone, zone))
             continue;
-        s->zone_out = out;
-        if (!out)
-            wp_fleet_doubt(s, now);
+        s->zone_evacuated = evacuated;
+        if (!evacuated)
+            wp_fleet_suspect_restart(s, now);
     }
     return true;
 }
 
-bool wp_fleet_is_kept_out(WPFleet *f, const char *service)
+bool wp_fleet_has_evacuated_endpoints(WPFleet *f, const char *service)
 {
-    const GPtrArray *list = wp_fleet_of_service(f, service);
+    const GPtrArray *list = wp_fleet_service_endpoints(f, service);
     for (guint i = 0; i < list->len; i++)
-        if (((WPReplica *)g_ptr_array_index(list, i))->zone_out)
+        if (((WPReplica *)g_ptr_array_index(list, i))->zone_evacuated)
             return true;
     return false;
 }
 
-void wp_fleet_each_zone_out(WPFleet *f, void (*fn)(void *, const char *),
-                            void *arg)
+void wp_fleet_each_evacuated_zone(WPFleet *f, void (*fn)(void *, const char *),
+                                  void *arg)
 {
     GHashTableIter it;
     gpointer zone;
-    g_hash_table_iter_init(&it, f->zones_out);
+    g_hash_table_iter_init(&it, f->evacuated_zones);
     while (g_hash_table_iter_next(&it, &zone, NULL))
         fn(arg, zone);
 }
 
-void wp_fleet_remove(WPFleet *f, WPTime now, const char *id, bool doubt)
+void wp_fleet_remove(WPFleet *f, WPTime now, const char *id, bool uncertain)
 {
     WPReplica *s = wp_fleet_find(f, id);
     if (!s)
         return;
-    if (!doubt)
-        unlist(f, now, s);
-    else if (!s->missing_us)
-        s->missing_us = now.mono_us;
+    if (!uncertain)
+        unregister(f, now, s);
+    else if (!s->missing_since_us)
+        s->missing_since_us = now.mono_us;
 }
 
 void wp_fleet_tick(WPFleet *f, WPTime now)
 {
-    g_autoptr(GPtrArray) lapsed = g_ptr_array_new();
+    g_autoptr(GPtrArray) expired = g_ptr_array_new();
     GHashTableIter it;
     gpointer p;
     g_hash_table_iter_init(&it, f->by_id);
     while (g_hash_table_iter_next(&it, NULL, &p)) {
         const WPReplica *s = p;
-        if (s->missing_us && now.mono_us - s->missing_us > LIST_GRACE_US)
-            g_ptr_array_add(lapsed, p);
+        if (s->missing_since_us &&
+            now.mono_us - s->missing_since_us > REGISTRY_GRACE_US)
+            g_ptr_array_add(expired, p);
     }
-    for (guint i = 0; i < lapsed->len; i++)
-        unlist(f, now, g_ptr_array_index(lapsed, i));
+    for (guint i = 0; i < expired->len; i++)
+        unregister(f, now, g_ptr_array_index(expired, i));
     wp_fleet_tick_limits(f, now);
 }
 
--- a/src/wp_fleet.h
+++ b/src/wp_fleet.h
@@ -1,412 +1,490 @@
-/* Endpoints that are called without an agent beside them: which are there,
- * what is believed of each, and which one takes a request. Beliefs come from
- * the list of endpoints, from the load that answers carry, and from how this
- * box's own requests ended. */
+/* Endpoints that are called directly, without an agent beside them: which
+ * there are, the estimated state of each, and the choice of one for a request.
+ * The state comes from the endpoint registry, from the load that answers
+ * report, from other boxes, and from how this box's own requests ended. */
 #ifndef WP_FLEET_H
 #define WP_FLEET_H
 
 #include "wp_demand.h"
-#include "wp_kept.h"
+#include "wp_latency.h"
 #include "wp_listing.h"
 #include "wp_notice.h"
 #include "wp_pace.h"
 #include "wp_pause.h"
-#include "wp_speed.h"
+#include "wp_prefix_cache.h"
 
 enum { WP_PRIORITIES = 10 };
 
 struct WPCohort;
 struct WPColdRule;
 
-/* One life of an endpoint: what started again is another one. */
+/* One incarnation of an endpoint; after a restart it is another one. */
 typedef struct WPReplica {
     char *id, *service, *addr, *zone, *version;
-    int64_t born_ms;         /* time of day of its start; 0: not told */
+    int64_t started_ms;      /* time of day of its start; 0: not known */
     struct WPCohort *cohort; /* of its service and version */
-    bool far;                /* not of this box's zone */
-    const char *area;        /* of its zone; interned, NULL: not known */
+    bool remote_zone;        /* in another zone than this box */
+    const char *area;        /* of its zone; interned; NULL: not known */
     uint32_t slots;
-    WPSaid said;        /* by itself; see wp_notice.h */
-    bool zone_out;      /* nothing is to be sent to its zone */
-    bool unreadable;    /* its entry in the list is, at present */
-    bool gone;          /* out of the list; kept while requests run on it */
-    bool unreachable;   /* another endpoint answers at its address */
-    int64_t missing_us; /* since when the list lacks it; 0: it does not */
-    const struct WPColdRule *cold; /* of its service */
-    int64_t doubt_until_us;        /* it may have started again unnoticed */
-    WPPace pace;                   /* what this box has sent there */
-    int refs; /* requests that hold it, and the fleet itself */
+    WPSaid reported;     /* by the endpoint itself; see wp_notice.h */
+    bool zone_evacuated; /* an operator's order: nothing is sent to its zone */
+    bool unreadable;     /* its registry entry cannot be read at present */
+    bool gone; /* removed from the registry; kept while requests run on it */
+    bool unreachable; /* another endpoint answers at its address */
+    /* Since when it has been missing in the registry; 0: it is not missing. */
+    int64_t missing_since_us;
+    const struct WPColdRule *cold;      /* of its service */
+    int64_t restart_suspected_until_us; /* it may have restarted unnoticed, and
+                                           be cold until then */
+    WPPace cold_pacing;                 /* this box's latest requests to it */
+    int refs; /* references: one of each request on it, one of the fleet */
 
     /* This box's own requests. */
     uint32_t in_flight;
-    uint32_t since_load; /* sent since the last report of its load */
-    double ahead_us;     /* reading of prompts sent whose first event is
-                            awaited, as foretold */
-    double others_us;    /* the same, sent by other boxes of the zone, as of
-                            `others_at_us` */
-    int64_t others_at_us;
-    WPPeaks peaks;      /* of all that it had to read at one time */
-    WPKept *kept;       /* prompts that it has read for this box */
-    uint64_t id_hash;   /* of its id: of all its lives */
-    uint64_t life_hash; /* of this one; the same when its start is not told */
-    double fail_rate;   /* moving average over ended requests, 0 to 1 */
-    int64_t fail_us;    /* when `fail_rate` was last brought up to date */
-    double slowness;    /* moving ratio of its time to the expected, 1: alike */
-    uint32_t failures;  /* in a row */
+    uint32_t sent_since_load; /* requests since its latest load report */
+    /* Predicted prefill time of this box's requests whose first byte has not
+       come. */
+    double own_queued_prefill_us;
+    /* The same of requests from other boxes of the zone, as of
+       `others_prefill_updated_us`. */
+    double others_queued_prefill_us;
+    int64_t others_prefill_updated_us;
+    WPPeaks peaks;               /* recent maxima of all prefill queued there */
+    WPPrefixCache *prefix_cache; /* prompt prefixes it has cached */
+    uint64_t id_hash; /* of its id, the same for all its incarnations */
+    /* Of its incarnation; equal to `id_hash` if the time of its start is not
+       known. */
+    uint64_t incarnation_hash;
+    double fail_rate; /* moving average over ended requests, 0 to 1 */
+    int64_t fail_rate_updated_us; /* when `fail_rate` was last updated */
+    /* Moving average of its observed over the predicted time to first byte; 1:
+       as predicted. */
+    double latency_ratio;
+    uint32_t consecutive_failures;
     int64_t avoid_until_us;
 } WPReplica;
 
 /* How one request ended at one endpoint. */
-typedef enum WPServed {
-    WP_SERVED_OK,
-    WP_SERVED_REFUSED, /* it said that it did not run the request */
-    WP_SERVED_RESTS,   /* the same, and asked for rest: no verdict */
-    WP_SERVED_FAILED,  /* an error of its own, or no whole answer */
-    WP_SERVED_BROKEN,  /* a stream broke off: it may have crashed */
-    WP_SERVED_SILENT,  /* could not be reached, or said nothing in time */
-    WP_SERVED_LEFT,    /* given up by the caller or by this box: no verdict */
-    WP_SERVED_WRONG    /* another endpoint has the address */
-} WPServed;
-
-/* Whether requests may go to a version now, and at what preference. */
-typedef bool (*WPVersionFn)(void *arg, const char *version);
-
-typedef struct WPWant {
+typedef enum WPAttemptOutcome {
+    WP_OUTCOME_OK,
+    WP_OUTCOME_REFUSED, /* the endpoint reported that it did not run it */
+    /* The same, with a request for back-off; not counted as a failure. */
+    WP_OUTCOME_BACKOFF,
+    WP_OUTCOME_FAILED,        /* an error of its own, or no complete answer */
+    WP_OUTCOME_STREAM_BROKEN, /* its stream was cut off: the endpoint may have
+                                 crashed */
+    WP_OUTCOME_NO_RESPONSE,   /* not reachable, or no response in time */
+    /* Given up by the caller or by this box: tells nothing about the
+       endpoint. */
+    WP_OUTCOME_ABANDONED,
+    WP_OUTCOME_WRONG_ENDPOINT /* another endpoint has the address */
+} WPAttemptOutcome;
+
+/* Whether requests may be sent to a version now. */
+typedef bool (*WPVersionFilterFn)(void *arg, const char *version);
+
+/* What a request requires of an endpoint, and what the endpoints' scores
+   depend on. */
+typedef struct WPEndpointQuery {
     const char *service;
-    const char *version; /* only this one; NULL: as `allowed` says */
-    WPVersionFn allowed; /* NULL: all */
+    const char *version; /* only this one; NULL: those that `allowed` admits */
+    WPVersionFilterFn allowed; /* NULL: all versions */
     void *allowed_arg;
     const char *zone; /* of this box */
-    /* Of an engine; NULL: not one. */
+    /* The following are set for engines; `prompt` is NULL for other
+       endpoints. */
     const WPPrompt *prompt;
-    uint64_t model; /* hash */
-    WPSpeed *speed; /* of first bytes with that model; NULL: not known */
-    double second;  /* weight of a second until the first byte, in places */
-    const WPPauses *pauses;  /* of streams; NULL: not known */
-    double pause_us;         /* the longest that one may last */
-    double pause_weight;     /* of one stream that pauses longer, in places */
-    uint64_t memory_tokens;  /* of each endpoint; 0: not known */
-    uint32_t body_bytes;     /* that go to the endpoint */
-    WPReplica *const *tried; /* not these again */
+    uint64_t model;     /* hash of its name */
+    WPTtfbModel *ttfb;  /* for that model; NULL: not known */
+    double ttfb_weight; /* of a second of time to first byte, in score units */
+    const WPPauses *stalls; /* of streams, by queued prefill; NULL: not known */
+    double max_stall_us;    /* longest event gap that is not a stall */
+    double stall_weight;    /* of one stream that stalls, in score units */
+    uint64_t memory_tokens; /* of each endpoint; 0: not known */
+    uint32_t body_bytes;    /* sent to the endpoint */
+    WPReplica *const *tried; /* not chosen again */
     size_t n_tried;
-    bool once;        /* may not be repeated: doubtful endpoints cost more */
-    unsigned suspect; /* endpoints that have ended under it */
-    int priority;     /* 0 is the most urgent */
-    double draw;      /* of the request, at random in [0, 1) */
-    /* char *, the only areas where the request may be served: by its route, by
-       its caller. NULL or empty: anywhere. */
+    bool non_repeatable; /* must not be repeated: failures weigh more */
+    /* Endpoints that have crashed during this request. */
+    unsigned endpoint_losses;
+    int priority;  /* 0 is the most urgent */
+    double random; /* of the request, uniform in [0, 1) */
+    /* The only areas where the request may be served, by its route and by its
+       caller: of char *; NULL or empty: all areas. */
     const GPtrArray *areas, *caller_areas;
-} WPWant;
+} WPEndpointQuery;
 
-/* Weights of a choice, in places: 1 is a replica whose every place is
-   taken. */
+/* Weights of an endpoint's score; 1 is the score of a fully utilized
+   endpoint. */
 typedef struct WPFleetRules {
-    const char *own_zone; /* of this box; interned, NULL: of no zone */
-    double zone;    /* against another zone: bytes between zones are paid for */
-    double zone_kb; /* the same of an engine, for each KB that goes there */
-    double home;    /* for the replica that boxes prefer for a shared prompt */
-    double read_kt; /* of each 1,000 shared tokens that are read again */
-    double move_kt; /* of each 1,000 tokens that are taken from another engine;
-                       0: none are */
+    const char *own_zone; /* of this box; interned; NULL: none */
+    /* For another zone: traffic between zones is paid for. */
+    double zone_weight;
+    /* The same for engines, for each KB sent there. */
+    double zone_weight_per_kb;
+    /* Bonus of the affinity endpoint, which all boxes prefer for a shared
+       prompt. */
+    double affinity_weight;
+    /* For each 1,000 shared tokens that have to be prefilled again. */
+    double prefill_weight_per_kt;
+    /* For each 1,000 cached tokens that are transferred from another engine;
+       0: there are no transfers. */
+    double transfer_weight_per_kt;
     double cold_overshoot, cold_slack; /* see WPPaceRules */
-    bool keep;                         /* note what engines keep of prompts */
-    double pause; /* of a stream that pauses for too long, for what it loses */
-    double slow;  /* of its slowness beyond its peers' */
-    uint32_t choices; /* candidates drawn at random, the home besides; 0: all */
+    bool track_prefixes; /* record which prompt prefixes engines have cached */
+    double stall_weight; /* for what a stalled stream loses in value */
+    double slow_weight;  /* for each unit of `latency_ratio` above 1 */
+    /* Candidates sampled at random in addition to the affinity endpoint; 0:
+       all endpoints. */
+    uint32_t choices;
 } WPFleetRules;
 
 typedef struct WPFleet WPFleet;
 struct WPBoxNews;
 
+/* Returns a new fleet without endpoints; `seed` is of its random choices.
+   wp_fleet_set_rules() sets the weights, which are copied. */
 WPFleet *wp_fleet_new(uint32_t seed);
 void wp_fleet_free(WPFleet *f);
-void wp_fleet_rules(WPFleet *f, const WPFleetRules *rules);
+void wp_fleet_set_rules(WPFleet *f, const WPFleetRules *rules);
 
-/* Takes one listing, which wp_listing_problem() has passed; returns true when
-   it changes what is known. One of a later start, or of another address, zone
-   or service, is of a new life: nothing that was believed of the one before
-   holds. One of an earlier start comes late and changes nothing. */
+/* Takes a registry entry that wp_listing_problem() accepts; returns true if it
+   changes what is known. An entry with a later start, or another address, zone
+   or service, is of a new incarnation, which starts with new state. An entry
+   with an earlier start is outdated and ignored. */
 bool wp_fleet_put(WPFleet *f, WPTime now, const WPListing *l);
 
-/* Its entry in the list cannot be read: it takes nothing until it can. */
+/* The endpoint's registry entry cannot be read: nothing is sent to it until it
+   can be. */
 void wp_fleet_set_unreadable(WPFleet *f, const char *id);
 
-/* An operator's order that nothing is sent to the endpoints of a zone, and its
-   end. Returns true when that is new. */
-bool wp_fleet_set_zone_out(WPFleet *f, WPTime now, const char *zone, bool out);
+/* Begins or ends the evacuation of a zone, an operator's order that nothing is
+   sent to its endpoints. Returns true if that changes its state. */
+bool wp_fleet_set_zone_evacuated(WPFleet *f, WPTime now, const char *zone,
+                                 bool evacuated);
 
-/* Which area a zone lies in. */
+/* Sets the area in which a zone lies. */
 void wp_fleet_set_area(WPFleet *f, const char *zone, const char *area);
 
-/* Whether the request may be served there, by its areas; whether all endpoints
-   of its service that are listed lie where it may not. */
-bool wp_fleet_in_areas(const WPWant *w, const WPReplica *s);
-bool wp_fleet_is_elsewhere(WPFleet *f, const WPWant *w);
+/* wp_fleet_in_areas(): whether the request's areas allow it to be served by
+   the endpoint. wp_fleet_all_outside_areas(): whether the service has
+   registered endpoints, and none of them is allowed. */
+bool wp_fleet_in_areas(const WPEndpointQuery *q, const WPReplica *s);
+bool wp_fleet_all_outside_areas(WPFleet *f, const WPEndpointQuery *q);
 
-/* How a service's endpoints start: so many requests a second reach one while it
-   is cold (0: they need no pacing), for so long after an unnoticed start. */
-void wp_fleet_set_cold(WPFleet *f, const char *service, double per_s,
-                       double start_s);
+/* Sets how the endpoints of a service start: each takes `per_s` requests a
+   second while it is cold (0: any number), and is cold for `start_s` after a
+   suspected restart. */
+void wp_fleet_set_cold_rule(WPFleet *f, const char *service, double per_s,
+                            double start_s);
 
-/* The boxes that send to these endpoints. */
+/* Sets the boxes that send requests to these endpoints: this one, the `n`
+   others that are known, and the least number that there is, known or not. */
 void wp_fleet_set_boxes(WPFleet *f, const WPPaceBox *self,
-                        const WPPaceBox *others, size_t n, unsigned least);
+                        const WPPaceBox *others, size_t n, unsigned min);
 
-/* Whether the endpoint is to be spared requests, as it has just started. */
+/* Whether the endpoint has just started and takes few requests. */
 bool wp_fleet_is_cold(const WPReplica *s, WPTime now);
 
-/* Whether the service has endpoints that only such orders keep out. */
-bool wp_fleet_is_kept_out(WPFleet *f, const char *service);
+/* Whether the service has endpoints in evacuated zones. */
+bool wp_fleet_has_evacuated_endpoints(WPFleet *f, const char *service);
 
-/* Calls `fn` for each zone that is out. */
-void wp_fleet_each_zone_out(WPFleet *f, void (*fn)(void *arg, const char *zone),
-                            void *arg);
+/* Calls `fn` for each evacuated zone. */
+void wp_fleet_each_evacuated_zone(WPFleet *f,
+                                  void (*fn)(void *arg, const char *zone),
+                                  void *arg);
 
-/* The list lacks it. With `doubt` the list itself may have lost entries: the
-   endpoint then stays in use until wp_fleet_tick() has waited. */
-void wp_fleet_remove(WPFleet *f, WPTime now, const char *id, bool doubt);
+/* The endpoint's entry is missing in the registry. With `uncertain` the
+   registry itself may have lost entries: the endpoint stays in use until
+   wp_fleet_tick() removes it after a grace period. */
+void wp_fleet_remove(WPFleet *f, WPTime now, const char *id, bool uncertain);
 
-/* Lets go of the endpoints that the list has lacked for long enough. */
+/* Removes endpoints whose grace period is over, and forgets old rate limits. */
 void wp_fleet_tick(WPFleet *f, WPTime now);
 
+/* Finds an endpoint by its id; NULL: not known. wp_fleet_each() calls `fn` for
+   all. */
 WPReplica *wp_fleet_find(WPFleet *f, const char *id);
 void wp_fleet_each(WPFleet *f, void (*fn)(void *arg, WPReplica *s), void *arg);
 
-/* How many endpoints of the service could take a request. */
-unsigned wp_fleet_count(WPFleet *f, const WPWant *w);
+/* Number of the service's endpoints that can take the request, apart from
+   exclusions that end by themselves. */
+unsigned wp_fleet_count_eligible(WPFleet *f, const WPEndpointQuery *q);
 
-/* The share of places taken at those, 0 to 1 and above with a queue. */
-double wp_fleet_pressure(WPFleet *f, WPTime now, const WPWant *w);
+/* Utilization of all these endpoints together: 0 to 1, above with a queue; 1
+   if there are none. */
+double wp_fleet_service_utilization(WPFleet *f, WPTime now,
+                                    const WPEndpointQuery *q);
 
-/* The endpoint for a request, held for the caller; NULL if there is none. */
-WPReplica *wp_fleet_choose(WPFleet *f, WPTime now, const WPWant *w);
+/* Returns the endpoint with the lowest score for a request, with a reference
+   for the caller; NULL if there is none. */
+WPReplica *wp_fleet_choose(WPFleet *f, WPTime now, const WPEndpointQuery *q);
 
-/* Requests believed to be at the replica, from all boxes. */
+/* Estimated number of requests at the endpoint, from all boxes. */
 double wp_fleet_load_of(const WPReplica *s, WPTime now);
 
-/* The share of its places that are taken, as far as is known. */
-double wp_fleet_taken(const WPReplica *s, WPTime now);
-
-/* Holds a replica, and lets go of it again. */
-WPReplica *wp_fleet_hold(WPReplica *s);
-void wp_fleet_release(WPReplica *s);
-
-/* What an endpoint has to do before the first byte of this request, and another
-   one from which it is to take the prompt's beginning, or NULL. */
-WPWork wp_fleet_work(WPFleet *f, WPTime now, const WPWant *w,
-                     const WPReplica *s, const WPReplica **source);
-
-/* What this box's requests have made endpoints keep and the other boxes have
-   not been told of: written to `out`, they count as told. */
-typedef struct WPKeptNews {
-    uint64_t replica; /* hash of its life */
-    uint64_t key;     /* wp_kept_key() */
+/* Utilization: that number over the endpoint's slots; above 1 with a queue. */
+double wp_fleet_utilization(const WPReplica *s, WPTime now);
+
+/* Takes and drops a reference. */
+WPReplica *wp_replica_ref(WPReplica *s);
+void wp_replica_unref(WPReplica *s);
+
+/* Returns the work that the endpoint has before the first byte of this
+   request, and sets `source` to the endpoint from which it should fetch the
+   cached prompt prefix, or NULL. */
+WPTtfbInputs wp_fleet_ttfb_inputs(WPFleet *f, WPTime now,
+                                  const WPEndpointQuery *q, const WPReplica *s,
+                                  const WPReplica **source);
+
+/* A prompt prefix that an engine has cached after a request of this box.
+   wp_fleet_take_unsent_prefixes() moves up to `max` of these that other boxes
+   have not been sent to `out`; wp_fleet_merge_cached_prefix() takes in one
+   from another box. */
+typedef struct WPCachedPrefixUpdate {
+    uint64_t replica; /* hash of its incarnation */
+    uint64_t key;     /* from wp_prefix_cache_key() */
     uint32_t tokens;
-} WPKeptNews;
-
-size_t wp_fleet_tell_kept(WPFleet *f, WPKeptNews *out, size_t most);
-void wp_fleet_hear_kept(WPFleet *f, WPTime now, const WPKeptNews *n);
-
-/* A request that was chosen for `s` is handed to it; its prompt takes so long
-   to read there. */
-void wp_fleet_sent(WPFleet *f, WPReplica *s, WPTime now, const WPWant *w,
-                   double reading_us);
-
-/* The first byte of its answer came after `took_us`, where an endpoint of its
-   kind is expected to take `expected_us`; 0: not to be compared. */
-void wp_fleet_began(WPFleet *f, WPReplica *s, double reading_us,
-                    int64_t took_us, int64_t expected_us);
-
-/* The request has ended there. */
-void wp_fleet_ended(WPReplica *s, WPTime now, WPServed how);
-
-/* An answer, or a failure of its own, of an endpoint of which so much was taken
-   when the request was sent. A version may fail only on endpoints that are half
-   full: those are then passed over while others have room. */
-void wp_fleet_learn(WPFleet *f, WPTime now, const WPReplica *s, double taken,
-                    bool failed);
-
-/* Another box has found it. */
-void wp_fleet_hear_loaded(WPFleet *f, WPTime now, const char *service,
-                          const char *version);
-
-/* The versions of which this box has found it, as "SERVICE VERSION". */
-void wp_fleet_each_loaded(WPFleet *f, WPTime now,
-                          void (*fn)(void *arg, const char *what), void *arg);
-
-/* Whether that has been seen of this version. */
-bool wp_fleet_fails_loaded(WPFleet *f, WPTime now, const char *service,
-                           const char *version);
-
-/* Whether its endpoints are so full, on the whole, that it is to be given less
-   to do. */
-bool wp_fleet_spares(WPFleet *f, WPTime now, const WPWant *w,
-                     const char *version);
-
-/* A resting connection to it ended before its time: it may have started again,
-   and the list tells of that some tenths of a second later. */
-void wp_fleet_idle_lost(WPReplica *s, WPTime now);
-
-/* The endpoint's own word on its load. */
-void wp_fleet_load(WPReplica *s, WPTime now, uint32_t running, uint32_t waiting,
-                   uint32_t slots);
-
-/* The endpoint's own word on how long work takes there, in hundredths of the
-   usual. It changes many times a second; what lasts of it is believed. */
-void wp_fleet_told_pace(WPReplica *s, uint32_t pace);
-
-/* wp_fleet_limit.c: what endpoints say of the requests that they take.
-
-   What an answer's word on that changed. */
+} WPCachedPrefixUpdate;
+
+size_t wp_fleet_take_unsent_prefixes(WPFleet *f, WPCachedPrefixUpdate *out,
+                                     size_t max);
+void wp_fleet_merge_cached_prefix(WPFleet *f, WPTime now,
+                                  const WPCachedPrefixUpdate *n);
+
+/* Records that a request is sent to the endpoint chosen for it; `prefill_us`
+   is the predicted prefill time of its prompt there. */
+void wp_fleet_request_sent(WPFleet *f, WPReplica *s, WPTime now,
+                           const WPEndpointQuery *q, double prefill_us);
+
+/* Records that the first byte of an answer came after `took_us`. `prefill_us`
+   is what was passed for its request to wp_fleet_request_sent(), `expected_us`
+   the predicted time to first byte; 0: no comparison. */
+void wp_fleet_first_byte(WPFleet *f, WPReplica *s, double prefill_us,
+                         int64_t took_us, int64_t expected_us);
+
+/* Records how a request ended at the endpoint. */
+void wp_fleet_request_ended(WPReplica *s, WPTime now, WPAttemptOutcome outcome);
+
+/* Records an answer of an endpoint, or a failure of its own, with its
+   utilization when the request was sent. Some versions fail only on half-full
+   endpoints: such endpoints are then avoided while others have free slots. */
+void wp_fleet_record_answer(WPFleet *f, WPTime now, const WPReplica *s,
+                            double utilization, bool failed);
+
+/* Records that another box has found a version to fail under load. */
+void wp_fleet_merge_fails_under_load(WPFleet *f, WPTime now,
+                                     const char *service, const char *version);
+
+/* Calls `fn` with "SERVICE VERSION" for each version that this box itself has
+   found to fail under load. */
+void wp_fleet_each_failing_under_load(WPFleet *f, WPTime now,
+                                      void (*fn)(void *arg, const char *key),
+                                      void *arg);
+
+/* Whether a version is known to fail under load. */
+bool wp_fleet_fails_under_load(WPFleet *f, WPTime now, const char *service,
+                               const char *version);
+
+/* Whether the version fails under load and the service's endpoints are so
+   full, on the whole, that it should get less work. */
+bool wp_fleet_should_reduce_load(WPFleet *f, WPTime now,
+                                 const WPEndpointQuery *q, const char *version);
+
+/* An idle connection to the endpoint was closed before its time: it may have
+   restarted, which the registry shows some tenths of a second later. */
+void wp_fleet_idle_connection_lost(WPReplica *s, WPTime now);
+
+/* Sets the load that the endpoint has reported: requests running and waiting,
+   and its slots (0: as before). */
+void wp_fleet_set_load(WPReplica *s, WPTime now, uint32_t running,
+                       uint32_t waiting, uint32_t slots);
+
+/* Takes the endpoint's report of how long work takes there, in hundredths of
+   the usual time. The value changes many times a second; its moving average is
+   used. */
+void wp_fleet_record_slowdown(WPReplica *s, uint32_t percent);
+
+/* wp_fleet_limit.c: endpoints' own rate limits.
+
+   What an answer changed about its endpoint's rate limit. */
 typedef enum WPLimitChange {
-    WP_LIMIT_SAME,
-    WP_LIMIT_CHANGED, /* named for the first time, another one, or dropped */
-    WP_LIMIT_ODD      /* a bad field is to be reported; what is believed is that
-                         it names none */
+    WP_LIMIT_UNCHANGED,
+    WP_LIMIT_CHANGED, /* a first limit, another one, or none any more */
+    /* An invalid field that should be logged; it counts as no limit. */
+    WP_LIMIT_REPORT_INVALID
 } WPLimitChange;
 
-typedef struct WPLimitSeen {
+/* What an answer reports about its endpoint's rate limit. */
+typedef struct WPLimitReport {
     WPLimitField field;
-    bool genuine;    /* the answer carries the endpoint's mark: only then its
-                        saying nothing counts */
-    int64_t sent_us; /* when the request was sent that it answers */
-} WPLimitSeen;
+    /* The answer carries the endpoint's seal: only then the absence of the
+       field counts. */
+    bool genuine;
+    int64_t sent_us; /* when its request was sent */
+} WPLimitReport;
 
-WPLimitChange wp_fleet_told_limit(WPFleet *f, WPReplica *s, WPTime now,
-                                  const WPLimitSeen *seen);
+/* Takes such a report. */
+WPLimitChange wp_fleet_record_limit(WPFleet *f, WPReplica *s, WPTime now,
+                                    const WPLimitReport *report);
 
-/* The limit that is believed to be in force; 0: none. */
+/* The rate limit known to be in force, in requests a second; 0: none. */
 double wp_fleet_limit_of(const WPReplica *s);
 
-/* A belief as boxes tell it; see WPLimit. */
-typedef struct WPLimitNews {
-    uint64_t endpoint; /* hash of its life */
-    double per_s;      /* 0: it names none any more */
-    uint32_t number;
-    uint64_t box;
-} WPLimitNews;
+/* A rate limit as boxes send it to each other; see WPLimit. */
+typedef struct WPLimitUpdate {
+    uint64_t endpoint; /* hash of its incarnation */
+    double per_s;      /* 0: it has no limit any more */
+    uint32_t sequence;
+    uint64_t origin_box;
+} WPLimitUpdate;
 
-/* Returns the endpoint when that is new; it is then told on. */
-WPReplica *wp_fleet_hear_limit(WPFleet *f, WPTime now, const WPLimitNews *n);
+/* Takes in a limit from another box. Returns the endpoint if that changes what
+   is known, which is then sent on to other boxes; else NULL. */
+WPReplica *wp_fleet_merge_limit(WPFleet *f, WPTime now, const WPLimitUpdate *n);
 
-/* What is to be told now; it counts as told. */
-size_t wp_fleet_tell_limits(WPFleet *f, WPTime now, WPLimitNews *out,
-                            size_t most);
-bool wp_fleet_any_untold_limit(const WPFleet *f);
+/* Moves the limits that are due to be sent to other boxes to `out`; they then
+   count as sent. */
+size_t wp_fleet_take_unsent_limits(WPFleet *f, WPTime now, WPLimitUpdate *out,
+                                   size_t max);
 
-/* All of it, for a box that comes. */
+/* Whether there are any to be sent, due or not. */
+bool wp_fleet_has_unsent_limits(const WPFleet *f);
+
+/* Calls `fn` for all known limits, for a box that joins. */
 void wp_fleet_each_limit(WPFleet *f,
-                         void (*fn)(void *arg, const WPLimitNews *n),
+                         void (*fn)(void *arg, const WPLimitUpdate *n),
                          void *arg);
 
-/* The boxes' requests by service, which quotas rest on. */
+/* The boxes' demand by service, from which quotas are computed. */
 WPDemand *wp_fleet_demand(WPFleet *f);
 
-/* The figure of this box's zone that is to be told to the others, if any. */
-bool wp_fleet_tell_zone_demand(WPFleet *f, WPTime now, WPDemandNews *out);
-
-/* A caller's request for a service. */
-void wp_fleet_asked(WPFleet *f, WPTime now, const char *service);
-
-/* A request is refused as limits alone keep it from endpoints; returns in how
-   many ms its caller is to come back. */
-struct WPBarred;
-uint32_t wp_fleet_limit_refused(WPFleet *f, WPTime now, const WPWant *w,
-                                const struct WPBarred *met);
-
-/* wp_fleet_notice.c: endpoints that leave, and endpoints that want nothing from
-   this box for a while. Each returns true when that is new. */
-bool wp_fleet_told_leaving(WPFleet *f, WPReplica *s, WPTime now);
-bool wp_fleet_told_rest(WPFleet *f, WPReplica *s, WPTime now, double rest_s);
-
-/* A field that cannot be read: whether it is to be reported. */
-bool wp_fleet_told_bad(WPReplica *s, WPTime now);
-
-/* Another box was told by the endpoint of this life that it leaves. Returns the
-   endpoint when that is new; it is then told on. */
-WPReplica *wp_fleet_hear_leaving(WPFleet *f, WPTime now, uint64_t life);
-
-/* The lives that are to be told of now; they count as told. */
-size_t wp_fleet_tell_leaving(WPFleet *f, uint64_t *out, size_t most);
-bool wp_fleet_any_untold_leaving(const WPFleet *f);
-
-/* All of them, for a box that comes. */
-void wp_fleet_each_leaving(WPFleet *f, void (*fn)(void *arg, uint64_t life),
-                           void *arg);
+/* Gets the next rate of this box's zone that is due to be sent to other boxes;
+   returns false if there is none. */
+bool wp_fleet_take_unsent_zone_demand(WPFleet *f, WPTime now,
+                                      WPDemandNews *out);
+
+/* Counts a caller's request for a service. */
+void wp_fleet_count_request(WPFleet *f, WPTime now, const char *service);
+
+/* Records that a request is refused because rate limits alone exclude it from
+   endpoints. Returns after how many ms its caller should retry. */
+struct WPExcludedEndpoints;
+uint32_t wp_fleet_limit_refused(WPFleet *f, WPTime now,
+                                const WPEndpointQuery *q,
+                                const struct WPExcludedEndpoints *excluded);
+
+/* wp_fleet_notice.c: endpoints that are draining, and endpoints that asked
+   this box for back-off. `backoff_s` is the time asked for, in seconds. Each
+   returns true if the endpoint was not in that state before. */
+bool wp_fleet_record_draining(WPFleet *f, WPReplica *s, WPTime now);
+bool wp_fleet_record_backoff(WPFleet *f, WPReplica *s, WPTime now,
+                             double backoff_s);
+
+/* The endpoint sent a field that cannot be read; returns whether to log it. */
+bool wp_fleet_should_report_bad_field(WPReplica *s, WPTime now);
+
+/* Records that an endpoint told another box that it is draining. Returns the
+   endpoint if that changes what is known, which is then sent on; else NULL. */
+WPReplica *wp_fleet_merge_draining(WPFleet *f, WPTime now,
+                                   uint64_t incarnation);
+
+/* Moves the hashes of draining incarnations that have not been sent to other
+   boxes to `out`; they then count as sent. */
+size_t wp_fleet_take_unsent_draining(WPFleet *f, uint64_t *out, size_t max);
+bool wp_fleet_has_unsent_draining(const WPFleet *f);
+
+/* Calls `fn` for all draining incarnations, for a box that joins. */
+void wp_fleet_each_draining(WPFleet *f,
+                            void (*fn)(void *arg, uint64_t incarnation),
+                            void *arg);
 
-bool wp_fleet_rests(const WPReplica *s, WPTime now);
+/* Whether the endpoint has asked this box to send nothing at present. */
+bool wp_fleet_is_backing_off(const WPReplica *s, WPTime now);
 
-/* An endpoint whose rest has ended, each once, held for the caller; NULL: none
-   has. */
-WPReplica *wp_fleet_rested(WPFleet *f, WPTime now);
+/* Returns an endpoint whose back-off has ended, each once, with a reference
+   for the caller; NULL if there is none. */
+WPReplica *wp_fleet_next_backoff_ended(WPFleet *f, WPTime now);
 
-/* A rest as a box tells it to those that it is linked to: it is likely that the
-   endpoint refuses the others as well. */
-typedef struct WPRestNews {
-    uint64_t endpoint; /* hash of its life */
+/* A back-off as a box sends it to those that it has links to: the endpoint is
+   likely to refuse their requests as well. */
+typedef struct WPBackoffUpdate {
+    uint64_t endpoint; /* hash of its incarnation */
     uint32_t left_ms;
-} WPRestNews;
+} WPBackoffUpdate;
 
-void wp_fleet_hear_rest(WPFleet *f, WPTime now, const WPRestNews *n);
+/* Takes in a back-off from another box: it lowers the endpoint's score but
+   does not exclude it. */
+void wp_fleet_merge_backoff(WPFleet *f, WPTime now, const WPBackoffUpdate *n);
 
-/* What is to be told now; it counts as told. */
-size_t wp_fleet_tell_rests(WPFleet *f, WPTime now, WPRestNews *out,
-                           size_t most);
-bool wp_fleet_any_untold_rest(const WPFleet *f);
+/* Moves the back-offs that are due to be sent to other boxes to `out`; they
+   then count as sent. */
+size_t wp_fleet_take_unsent_backoffs(WPFleet *f, WPTime now,
+                                     WPBackoffUpdate *out, size_t max);
+bool wp_fleet_has_unsent_backoffs(const WPFleet *f);
 
-/* How many endpoints leave, and rest, at present. */
+/* How many endpoints are draining and backing off at present. */
 typedef struct WPNoticeCount {
-    unsigned leaving, resting;
+    unsigned draining, backing_off;
 } WPNoticeCount;
 
 WPNoticeCount wp_fleet_count_notices(const WPFleet *f, WPTime now);
 
-/* wp_fleet_bar.c: why nothing, or nothing more, is to be sent to an endpoint.
- */
-typedef enum WPBar {
-    WP_BAR_NONE,
-    WP_BAR_UNLISTED, /* gone, unreadable, or another one has its address */
-    WP_BAR_ZONE_OUT,
-    WP_BAR_LEAVING,
-    /* From here on for a while. */
-    WP_BAR_REST,
-    WP_BAR_COLD, /* what this box may send it while it is cold is sent */
-    WP_BAR_LIMIT /* the same by its limit */
-} WPBar;
-
-/* For this request; the one question that each way to an endpoint asks. */
-WPBar wp_fleet_bar(WPFleet *f, WPTime now, const WPWant *w, WPReplica *s);
-
-/* The endpoints that one passing bar alone keeps from a request. */
-typedef struct WPBarred {
-    const WPReplica *endpoint; /* the first that is free again; NULL: none */
-    int64_t free_us;           /* when; INT64_MAX: not for this box */
-    double own_per_s; /* LIMIT: what this box may send to all of these */
-} WPBarred;
-
-bool wp_fleet_barred(WPFleet *f, WPTime now, const WPWant *w, WPBar bar,
-                     WPBarred *out);
-
-/* wp_fleet_hear.c: what the boxes of a zone tell each other. From now on, what
-   others should know goes to `news`; NULL: nowhere. */
-void wp_fleet_tell(WPFleet *f, struct WPBoxNews *news);
-
-/* By the hash of its life, or of its id, as boxes tell that know no lives;
-   NULL: not known. */
+/* wp_fleet_exclusion.c: why no request, or no further one, is to be sent to an
+   endpoint. */
+typedef enum WPExclusion {
+    WP_NOT_EXCLUDED,
+    /* Gone, its registry entry is unreadable, or another endpoint has its
+       address. */
+    WP_EXCLUDED_UNREGISTERED,
+    WP_EXCLUDED_ZONE,
+    WP_EXCLUDED_DRAINING,
+    /* The following end by themselves. */
+    WP_EXCLUDED_BACKOFF,
+    WP_EXCLUDED_COLD, /* this box's quota for the cold endpoint is used up */
+    WP_EXCLUDED_LIMIT /* the same for its rate limit */
+} WPExclusion;
+
+/* Why the request may not be sent to the endpoint now. Each code path that
+   sends requests to endpoints asks this. */
+WPExclusion wp_fleet_exclusion(WPFleet *f, WPTime now, const WPEndpointQuery *q,
+                               WPReplica *s);
+
+/* The endpoints that only one temporary exclusion keeps from a request. */
+typedef struct WPExcludedEndpoints {
+    const WPReplica *endpoint; /* the first to become available; NULL: none */
+    int64_t next_send_us;      /* when it does; INT64_MAX: not for this box */
+    /* Of WP_EXCLUDED_LIMIT: the rate at which this box may send to all of them
+       together. */
+    double own_per_s;
+} WPExcludedEndpoints;
+
+/* Finds the endpoints that the request matches and that this exclusion alone
+   keeps from it; returns false if there are none. */
+bool wp_fleet_find_excluded(WPFleet *f, WPTime now, const WPEndpointQuery *q,
+                            WPExclusion exclusion, WPExcludedEndpoints *out);
+
+/* wp_fleet_updates.c: state that the boxes of a zone share. Sets where updates
+   for the other boxes are collected; NULL: nowhere. */
+void wp_fleet_set_updates(WPFleet *f, struct WPBoxNews *updates);
+
+/* Finds an endpoint by the hash of its incarnation, or of its id, as sent by
+   boxes that do not know incarnations; NULL: not known. */
 WPReplica *wp_fleet_by_hash(WPFleet *f, uint64_t hash);
 
-/* As wp_fleet_load(), and told on. */
-void wp_fleet_told_load(WPFleet *f, WPReplica *s, WPTime now, uint32_t running,
-                        uint32_t waiting, uint32_t slots);
+/* As wp_fleet_set_load(), with an update for the other boxes. */
+void wp_fleet_record_load(WPFleet *f, WPReplica *s, WPTime now,
+                          uint32_t running, uint32_t waiting, uint32_t slots);
 
-/* Another box has sent it a request, with a prompt that takes so long to read;
-   has had the first byte of its answer; has been told its load. */
-void wp_fleet_hear_sent(WPReplica *s, WPTime now, double reading_us);
-void wp_fleet_hear_began(WPReplica *s, WPTime now, double reading_us);
-void wp_fleet_hear_load(WPReplica *s, WPTime now, uint32_t running,
-                        uint32_t waiting);
+/* Take in from another box that it sent the endpoint a request with this
+   predicted prefill time; that the first byte of its answer came; that it
+   received a load report. */
+void wp_fleet_merge_sent(WPReplica *s, WPTime now, double prefill_us);
+void wp_fleet_merge_first_byte(WPReplica *s, WPTime now, double prefill_us);
+void wp_fleet_merge_load(WPReplica *s, WPTime now, uint32_t running,
+                         uint32_t waiting);
 
-/* Reading that lies before a new request there, as far as is known. */
-double wp_fleet_ahead_us(const WPReplica *s, WPTime now);
+/* Estimated prefill time queued at the endpoint before a new request. */
+double wp_fleet_queued_prefill_us(const WPReplica *s, WPTime now);
 
 #endif
--- a/src/wp_fleet_learn.c
+++ b/src/wp_fleet_learn.c
@@ -1,303 +1,317 @@
-/* What is believed of endpoints by how this box's own requests end there. */
+/* Endpoint state learned from how this box's own requests end. */
 #include "wp_box_news.h"
 #include "wp_fleet_int.h"
 
 enum {
-    LOADED_LASTS_US = 30000 * WP_US_PER_MS, /* after the last failure */
-    AVOID_FIRST_US = 500 * WP_US_PER_MS,
-    AVOID_MOST_US = 4000 * WP_US_PER_MS,
-    AVOID_FAILURES = 3, /* in a row until it is avoided */
-    DOUBT_FAILURES = 2  /* in a row, then an answer: it may have started again;
-                           one in thirty answers is spoilt or lost now and then,
-                           two in a row hardly ever */
+    FAILS_UNDER_LOAD_US = 30000 * WP_US_PER_MS, /* after the last failure */
+    AVOID_MIN_US = 500 * WP_US_PER_MS,
+    AVOID_MAX_US = 4000 * WP_US_PER_MS,
+    AVOID_FAILURES = 3, /* in a row, until the endpoint is avoided */
+    /* In a row, followed by an answer: the endpoint may have restarted. One in
+       thirty answers is damaged or lost now and then, two in a row hardly ever
+       are. */
+    RESTART_FAILURES = 2
 };
 
-/* A version fails under load when so many answers of loaded endpoints failed,
-   at least this part of them, and hardly any of the others. Versions may fail
-   on half-full endpoints; as what others send to one is not known at once, it
-   counts as loaded from a little less on, and is passed over from still less.
-   The platform allows fifty failures, which a burst brings within a second or
-   two. */
+/* A version fails under load if at least so many answers of loaded endpoints
+   failed, at least this share of them, and hardly any of the others. Versions
+   may fail on half-full endpoints. As the requests of other boxes are not
+   known at once, an endpoint counts as loaded from a somewhat lower
+   utilization on, and is avoided from a lower one still (FULL_FROM in
+   wp_fleet_pick.c). The platform allows fifty failures, which a burst brings
+   within a second or two. */
 #define LOADED_FROM 0.44
-#define LOADED_FAILED_LEAST 2.5 /* three, as older ones fade */
+#define LOADED_FAILED_MIN 2.5 /* three failures, as older ones decay */
 #define LOADED_FAILED_SHARE 0.2
 #define LIGHT_FAILED_SHARE 0.05
 
-/* What remains of an older answer's weight with each new one. */
-#define LEARN_KEEP 0.995
+/* Factor by which the weight of older answers decays with each new one. */
+#define ANSWER_DECAY 0.995
 
 #define FAIL_WEIGHT 0.12        /* of the newest outcome */
-#define FAIL_HALF_LIFE_US 3.0e6 /* old failures are forgotten */
-#define SLOW_WEIGHT 0.15
-#define SLOWNESS_MOST 20.0
+#define FAIL_HALF_LIFE_US 3.0e6 /* of old failures */
+#define LATENCY_WEIGHT 0.15
+#define LATENCY_RATIO_MAX 20.0
 
-/* Answers of one version, by whether the endpoint was half full. */
-typedef struct LoadSeen {
+/* Answers of one version, by whether the endpoint was loaded. */
+typedef struct LoadedAnswers {
     double loaded, loaded_failed, light, light_failed;
-    int64_t until_us; /* so long it counts as one that fails there */
-    int64_t own_us;   /* the same, by this box's own requests */
-} LoadSeen;
+    int64_t until_us; /* the version counts as failing under load until then */
+    int64_t own_until_us; /* the same, by this box's own requests */
+} LoadedAnswers;
 
-void wp_fleet_doubt(WPReplica *s, WPTime now)
+void wp_fleet_suspect_restart(WPReplica *s, WPTime now)
 {
-    s->doubt_until_us = now.mono_us + s->cold->start_us;
+    s->restart_suspected_until_us = now.mono_us + s->cold->start_us;
 }
 
 double wp_fleet_fail_rate(const WPReplica *s, WPTime now)
 {
     if (s->fail_rate <= 0)
         return 0;
-    double age = (double)(now.mono_us - s->fail_us);
+    double age = (double)(now.mono_us - s->fail_rate_updated_us);
     return s->fail_rate * exp2(-age / FAIL_HALF_LIFE_US);
 }
 
-/* Whether it has told no load since it began, or since its rest ended. Of the
-   start of one of another zone too little is known: its own boxes are not
-   heard.
- */
-static bool is_unheard(const WPReplica *s, WPTime now)
+/* Whether the endpoint has reported no load since it started, or since its
+   back-off ended. Of the start of an endpoint in another zone too little is
+   known: the boxes there send their updates only to each other. */
+static bool has_reported_no_load(const WPReplica *s, WPTime now)
 {
-    if (!s->said.load_us)
-        return !s->far;
-    return s->said.rest_until_us > s->said.load_us && !wp_fleet_rests(s, now);
+    if (!s->reported.load_us)
+        return !s->remote_zone;
+    return s->reported.rest_until_us > s->reported.load_us &&
+           !wp_fleet_is_backing_off(s, now);
 }
 
-/* Of one that has told nothing lately the mean of its peers is believed; but no
-   more than what boxes have sent there, right after its start or its rest: what
-   is believed to be as busy as the mean is never the least busy one, and had no
-   work for seconds. */
-static double load_by_peers(const WPReplica *s, WPTime now)
+/* Load of an endpoint without a recent report: the mean of its cohort; but
+   right after its start or its back-off, no more than the requests boxes have
+   sent there. If such an endpoint counts as being as busy as the mean, it is
+   never the least busy one, and it got no work for seconds. */
+static double cohort_load(const WPReplica *s, WPTime now)
 {
-    double mean = s->cohort->taken * s->slots;
-    return is_unheard(s, now) ? MIN(mean, (double)s->since_load) : mean;
+    double mean = s->cohort->utilization * s->slots;
+    return has_reported_no_load(s, now) ? MIN(mean, (double)s->sent_since_load)
+                                        : mean;
 }
 
 double wp_fleet_load_of(const WPReplica *s, WPTime now)
 {
-    double told = 0;
-    if (wp_fleet_is_fresh(s, now))
-        told = s->said.running + s->said.waiting + s->since_load;
+    double load = 0;
+    if (wp_fleet_is_load_fresh(s, now))
+        load = s->reported.running + s->reported.waiting + s->sent_since_load;
     else
-        told = load_by_peers(s, now);
-    return MAX(told, (double)s->in_flight);
+        load = cohort_load(s, now);
+    return MAX(load, (double)s->in_flight);
 }
 
-double wp_fleet_taken(const WPReplica *s, WPTime now)
+double wp_fleet_utilization(const WPReplica *s, WPTime now)
 {
     return wp_fleet_load_of(s, now) / (s->slots ? s->slots : 1);
 }
 
-static LoadSeen *load_seen(WPFleet *f, const char *service, const char *version)
+static LoadedAnswers *loaded_answers(WPFleet *f, const char *service,
+                                     const char *version)
 {
     g_autofree char *key = g_strdup_printf("%s %s", service, version);
-    LoadSeen *l = g_hash_table_lookup(f->by_load, key);
+    LoadedAnswers *l = g_hash_table_lookup(f->answers_by_load, key);
     if (!l) {
-        l = g_new0(LoadSeen, 1);
-        g_hash_table_insert(f->by_load, g_steal_pointer(&key), l);
+        l = g_new0(LoadedAnswers, 1);
+        g_hash_table_insert(f->answers_by_load, g_steal_pointer(&key), l);
     }
     return l;
 }
 
-/* Hardly any answer fails while loaded endpoints are passed over, so what was
-   found holds for a while. */
-void wp_fleet_learn(WPFleet *f, WPTime now, const WPReplica *s, double taken,
-                    bool failed)
+/* Hardly any answer fails while loaded endpoints are avoided, so a finding is
+   kept for a while. */
+void wp_fleet_record_answer(WPFleet *f, WPTime now, const WPReplica *s,
+                            double utilization, bool failed)
 {
-    LoadSeen *l = load_seen(f, s->service, s->version);
-    /* This request took a place as well. */
-    bool loaded = taken + 1.0 / MAX(s->slots, 1) >= LOADED_FROM;
+    LoadedAnswers *l = loaded_answers(f, s->service, s->version);
+    /* This request took a slot as well. */
+    bool loaded = utilization + 1.0 / MAX(s->slots, 1) >= LOADED_FROM;
     double *n = loaded ? &l->loaded : &l->light;
-    double *bad = loaded ? &l->loaded_failed : &l->light_failed;
-    *n = *n * LEARN_KEEP + 1;
-    *bad = *bad * LEARN_KEEP + failed;
-    bool found = l->loaded_failed >= LOADED_FAILED_LEAST &&
+    double *failures = loaded ? &l->loaded_failed : &l->light_failed;
+    *n = *n * ANSWER_DECAY + 1;
+    *failures = *failures * ANSWER_DECAY + failed;
+    bool found = l->loaded_failed >= LOADED_FAILED_MIN &&
                  l->loaded_failed >= LOADED_FAILED_SHARE * l->loaded &&
                  l->light_failed <= LIGHT_FAILED_SHARE * l->light;
     if (loaded && failed && (found || l->until_us > now.mono_us))
-        l->own_us = l->until_us = now.mono_us + LOADED_LASTS_US;
-    f->loaded_until_us = MAX(f->loaded_until_us, l->until_us);
+        l->own_until_us = l->until_us = now.mono_us + FAILS_UNDER_LOAD_US;
+    f->fails_under_load_until_us =
+        MAX(f->fails_under_load_until_us, l->until_us);
 }
 
-void wp_fleet_hear_loaded(WPFleet *f, WPTime now, const char *service,
-                          const char *version)
+void wp_fleet_merge_fails_under_load(WPFleet *f, WPTime now,
+                                     const char *service, const char *version)
 {
-    LoadSeen *l = load_seen(f, service, version);
-    l->until_us = MAX(l->until_us, now.mono_us + LOADED_LASTS_US);
-    f->loaded_until_us = MAX(f->loaded_until_us, l->until_us);
+    LoadedAnswers *l = loaded_answers(f, service, version);
+    l->until_us = MAX(l->until_us, now.mono_us + FAILS_UNDER_LOAD_US);
+    f->fails_under_load_until_us =
+        MAX(f->fails_under_load_until_us, l->until_us);
 }
 
-void wp_fleet_each_loaded(WPFleet *f, WPTime now,
-                          void (*fn)(void *arg, const char *what), void *arg)
+void wp_fleet_each_failing_under_load(WPFleet *f, WPTime now,
+                                      void (*fn)(void *arg, const char *key),
+                                      void *arg)
 {
     GHashTableIter it;
-    gpointer what, l;
-    g_hash_table_iter_init(&it, f->by_load);
-    while (g_hash_table_iter_next(&it, &what, &l))
-        if (((LoadSeen *)l)->own_us > now.mono_us)
-            fn(arg, what);
+    gpointer key, l;
+    g_hash_table_iter_init(&it, f->answers_by_load);
+    while (g_hash_table_iter_next(&it, &key, &l))
+        if (((LoadedAnswers *)l)->own_until_us > now.mono_us)
+            fn(arg, key);
 }
 
-bool wp_fleet_fails_loaded(WPFleet *f, WPTime now, const char *service,
-                           const char *version)
+bool wp_fleet_fails_under_load(WPFleet *f, WPTime now, const char *service,
+                               const char *version)
 {
-    if (f->loaded_until_us <= now.mono_us)
+    if (f->fails_under_load_until_us <= now.mono_us)
         return false;
-    return load_seen(f, service, version)->until_us > now.mono_us;
+    return loaded_answers(f, service, version)->until_us > now.mono_us;
 }
 
-enum { UNTOLD_MOST = 256 };
+enum { UNSENT_MAX = 256 };
 
-/* Reading that takes less is not worth telling of. */
-#define TOLD_LEAST_US (100 * WP_US_PER_MS)
+/* A shorter prefill is not worth an update to other boxes. */
+#define UPDATE_MIN_PREFILL_US (100 * WP_US_PER_MS)
 
-static void note_untold(WPFleet *f, const WPReplica *s, const WPWant *w)
+static void note_cached_prefix(WPFleet *f, const WPReplica *s,
+                               const WPEndpointQuery *q)
 {
-    uint32_t shared = wp_prompt_shared_tokens(w->prompt);
-    const WPWork work = { .prompt = shared, .unread = shared };
-    if (wp_speed_reading(w->speed, &work) < TOLD_LEAST_US)
+    uint32_t shared = wp_prompt_shared_tokens(q->prompt);
+    const WPTtfbInputs inputs = { .prompt_tokens = shared,
+                                  .uncached_tokens = shared };
+    if (wp_ttfb_predict_prefill(q->ttfb, &inputs) < UPDATE_MIN_PREFILL_US)
         return;
-    uint64_t key = wp_kept_key(w->model, wp_prompt_shared(w->prompt));
-    const WPKeptNews n = { s->life_hash, key, shared };
-    if (f->untold->len < UNTOLD_MOST)
-        g_array_append_val(f->untold, n);
-    if (f->news)
-        wp_box_news_kept(f->news, &n);
+    uint64_t key =
+        wp_prefix_cache_key(q->model, wp_prompt_shared_hash(q->prompt));
+    const WPCachedPrefixUpdate n = { s->incarnation_hash, key, shared };
+    if (f->unsent_prefixes->len < UNSENT_MAX)
+        g_array_append_val(f->unsent_prefixes, n);
+    if (f->updates)
+        wp_box_news_kept(f->updates, &n);
 }
 
-size_t wp_fleet_tell_kept(WPFleet *f, WPKeptNews *out, size_t most)
+size_t wp_fleet_take_unsent_prefixes(WPFleet *f, WPCachedPrefixUpdate *out,
+                                     size_t max)
 {
-    guint n = (guint)MIN(most, f->untold->len);
+    guint n = (guint)MIN(max, f->unsent_prefixes->len);
     if (!n)
         return 0;
-    memcpy(out, f->untold->data, n * sizeof(*out));
-    g_array_remove_range(f->untold, 0, n);
+    memcpy(out, f->unsent_prefixes->data, n * sizeof(*out));
+    g_array_remove_range(f->unsent_prefixes, 0, n);
     return n;
 }
 
-void wp_fleet_hear_kept(WPFleet *f, WPTime now, const WPKeptNews *n)
+void wp_fleet_merge_cached_prefix(WPFleet *f, WPTime now,
+                                  const WPCachedPrefixUpdate *n)
 {
     WPReplica *s = wp_fleet_by_hash(f, n->replica);
     if (s)
-        wp_kept_hear(s->kept, now, n->key, n->tokens);
+        wp_prefix_cache_add_key(s->prefix_cache, now, n->key, n->tokens);
 }
 
-void wp_fleet_sent(WPFleet *f, WPReplica *s, WPTime now, const WPWant *w,
-                   double reading_us)
+void wp_fleet_request_sent(WPFleet *f, WPReplica *s, WPTime now,
+                           const WPEndpointQuery *q, double prefill_us)
 {
     s->in_flight++;
-    s->since_load++;
-    wp_pace_note(&s->pace, now);
-    if (s->said.limit)
-        wp_limit_note_own(s->said.limit, now);
-    s->ahead_us += reading_us;
-    wp_peaks_note(&s->peaks, now, wp_fleet_ahead_us(s, now));
-    wp_fleet_tell_sent(f, s, reading_us);
-    if (!w->prompt || !f->rules.keep)
+    s->sent_since_load++;
+    wp_pace_note(&s->cold_pacing, now);
+    if (s->reported.limit)
+        wp_limit_note_own(s->reported.limit, now);
+    s->own_queued_prefill_us += prefill_us;
+    wp_peaks_note(&s->peaks, now, wp_fleet_queued_prefill_us(s, now));
+    wp_fleet_add_sent_update(f, s, prefill_us);
+    if (!q->prompt || !f->rules.track_prefixes)
         return;
-    wp_kept_room(s->kept, w->memory_tokens);
-    wp_kept_read(s->kept, now, w->model, w->prompt);
-    note_untold(f, s, w);
+    wp_prefix_cache_set_capacity(s->prefix_cache, q->memory_tokens);
+    wp_prefix_cache_add(s->prefix_cache, now, q->model, q->prompt);
+    note_cached_prefix(f, s, q);
 }
 
-void wp_fleet_began(WPFleet *f, WPReplica *s, double reading_us,
-                    int64_t took_us, int64_t expected_us)
+void wp_fleet_first_byte(WPFleet *f, WPReplica *s, double prefill_us,
+                         int64_t took_us, int64_t expected_us)
 {
-    s->ahead_us = MAX(0, s->ahead_us - reading_us);
-    if (f->news)
-        wp_box_news_began(f->news, s->life_hash, reading_us);
+    s->own_queued_prefill_us = MAX(0, s->own_queued_prefill_us - prefill_us);
+    if (f->updates)
+        wp_box_news_began(f->updates, s->incarnation_hash, prefill_us);
     if (expected_us <= 0)
         return;
     double ratio = (double)took_us / (double)expected_us;
-    ratio = CLAMP(ratio, 0.1, SLOWNESS_MOST);
-    s->slowness += SLOW_WEIGHT * (ratio - s->slowness);
+    ratio = CLAMP(ratio, 0.1, LATENCY_RATIO_MAX);
+    s->latency_ratio += LATENCY_WEIGHT * (ratio - s->latency_ratio);
 }
 
-void wp_fleet_idle_lost(WPReplica *s, WPTime now)
+void wp_fleet_idle_connection_lost(WPReplica *s, WPTime now)
 {
-    wp_fleet_doubt(s, now);
+    wp_fleet_suspect_restart(s, now);
 }
 
 static void note_outcome(WPReplica *s, WPTime now, bool failed)
 {
     s->fail_rate = wp_fleet_fail_rate(s, now);
-    s->fail_us = now.mono_us;
+    s->fail_rate_updated_us = now.mono_us;
     s->fail_rate += FAIL_WEIGHT * ((failed ? 1 : 0) - s->fail_rate);
 }
 
 static void avoid(WPReplica *s, WPTime now, unsigned doublings)
 {
-    int64_t us = (int64_t)AVOID_FIRST_US << MIN(doublings, 6);
-    s->avoid_until_us = now.mono_us + MIN(us, (int64_t)AVOID_MOST_US);
+    int64_t us = (int64_t)AVOID_MIN_US << MIN(doublings, 6);
+    s->avoid_until_us = now.mono_us + MIN(us, (int64_t)AVOID_MAX_US);
 }
 
-void wp_fleet_ended(WPReplica *s, WPTime now, WPServed how)
+void wp_fleet_request_ended(WPReplica *s, WPTime now, WPAttemptOutcome outcome)
 {
     if (s->in_flight)
         s->in_flight--;
     if (!s->in_flight)
-        s->ahead_us = 0;
-    switch (how) {
-    case WP_SERVED_OK:
-        if (s->failures >= DOUBT_FAILURES)
-            wp_fleet_doubt(s, now);
-        s->failures = 0;
+        s->own_queued_prefill_us = 0;
+    switch (outcome) {
+    case WP_OUTCOME_OK:
+        if (s->consecutive_failures >= RESTART_FAILURES)
+            wp_fleet_suspect_restart(s, now);
+        s->consecutive_failures = 0;
         s->avoid_until_us = 0;
         note_outcome(s, now, false);
         break;
-    case WP_SERVED_FAILED:
-        s->failures++;
+    case WP_OUTCOME_FAILED:
+        s->consecutive_failures++;
         note_outcome(s, now, true);
-        if (s->failures >= AVOID_FAILURES)
-            avoid(s, now, s->failures - AVOID_FAILURES);
+        if (s->consecutive_failures >= AVOID_FAILURES)
+            avoid(s, now, s->consecutive_failures - AVOID_FAILURES);
         break;
-    case WP_SERVED_BROKEN:
-        /* The caller comes back at once and is not to be sent to what has
-           crashed: it then waited 4 s there for a first event. */
-        s->failures++;
+    case WP_OUTCOME_STREAM_BROKEN:
+        /* The caller reconnects at once and must not be sent back to the
+           crashed endpoint: without this, it waited 4 s there for its first
+           event. */
+        s->consecutive_failures++;
         note_outcome(s, now, true);
         avoid(s, now, 0);
         break;
-    case WP_SERVED_SILENT:
-        wp_fleet_doubt(s, now);
-        s->failures++;
+    case WP_OUTCOME_NO_RESPONSE:
+        wp_fleet_suspect_restart(s, now);
+        s->consecutive_failures++;
         note_outcome(s, now, true);
-        avoid(s, now, s->failures);
+        avoid(s, now, s->consecutive_failures);
         break;
-    case WP_SERVED_REFUSED:
-        /* Full: its load says so, and it is left alone for a moment. */
-        s->since_load += 1;
+    case WP_OUTCOME_REFUSED:
+        /* The endpoint is full: it counts as having one request more until its
+           next load report. */
+        s->sent_since_load += 1;
         note_outcome(s, now, true);
         break;
-    case WP_SERVED_WRONG:
+    case WP_OUTCOME_WRONG_ENDPOINT:
         s->unreachable = true;
         break;
-    case WP_SERVED_RESTS:
-        /* Its rest bars it; held against it as a failure besides, it had no
-           work for seconds after that. */
-    case WP_SERVED_LEFT:
+    case WP_OUTCOME_BACKOFF:
+        /* The back-off excludes the endpoint. When it also counted as a
+           failure, the endpoint got no work for seconds afterwards. */
+    case WP_OUTCOME_ABANDONED:
         break;
     }
 }
 
-#define PACE_WEIGHT 0.1 /* of one word, against those before */
-#define PACE_USUAL 100.0
-#define PACE_LEAST 0.1
-#define PACE_MOST 10.0
+#define SLOWDOWN_WEIGHT 0.1 /* of one report, against those before */
+#define SLOWDOWN_USUAL 100.0
+#define SLOWDOWN_MIN 0.1
+#define SLOWDOWN_MAX 10.0
 
-void wp_fleet_told_pace(WPReplica *s, uint32_t pace)
+void wp_fleet_record_slowdown(WPReplica *s, uint32_t percent)
 {
-    double v = CLAMP(pace / PACE_USUAL, PACE_LEAST, PACE_MOST);
-    double had = s->said.pace > 0 ? s->said.pace : v;
-    s->said.pace = had + PACE_WEIGHT * (v - had);
+    double v = CLAMP(percent / SLOWDOWN_USUAL, SLOWDOWN_MIN, SLOWDOWN_MAX);
+    double old = s->reported.pace > 0 ? s->reported.pace : v;
+    s->reported.pace = old + SLOWDOWN_WEIGHT * (v - old);
 }
 
-void wp_fleet_load(WPReplica *s, WPTime now, uint32_t running, uint32_t waiting,
-                   uint32_t slots)
+void wp_fleet_set_load(WPReplica *s, WPTime now, uint32_t running,
+                       uint32_t waiting, uint32_t slots)
 {
-    s->said.running = running;
-    s->said.waiting = waiting;
-    s->since_load = 0;
-    s->said.load_us = now.mono_us;
+    s->reported.running = running;
+    s->reported.waiting = waiting;
+    s->sent_since_load = 0;
+    s->reported.load_us = now.mono_us;
     if (slots)
         s->slots = slots;
 }
--- a/src/wp_fleet_limit.c
+++ b/src/wp_fleet_limit.c
@@ -1,43 +1,51 @@
-/* Endpoints that name the requests a second that they take from all boxes
- * together: what is believed, told and kept to. */
+/* Rate limits that endpoints set for all boxes together: the known values,
+ * their updates to other boxes, and how requests keep to them. */
 #include "wp_fleet_int.h"
 
 enum {
-    BAD_AGAIN_MS = 10000, /* between two reports of one endpoint's bad fields */
-    TELL_LEAST_MS = 250,  /* between two beliefs that are told of one endpoint:
-                             a limit may change with each answer */
-    QUOTA_MS = 300,       /* a quota is worked out anew after so long */
-    SUM_MS = 200,         /* the same of what a zone's endpoints take */
-    FORGOTTEN_MS = 60000, /* an endpoint that names none any more is told of to
-                             boxes that come, for so long */
-    EARLY_MOST = 4096,    /* endpoints that are not listed yet */
-    RETURN_MOST_MS = 5000, /* a refused caller is told to come back by then */
-    RETURN_LEAST_MS = 20,
-    YIELDS_MS = 1000 /* after a more urgent request was refused */
+    /* Minimum time between two logged reports of invalid fields of one
+       endpoint. */
+    BAD_FIELD_INTERVAL_MS = 10000,
+    /* Minimum time between two updates about one endpoint: a limit may change
+       with each answer. */
+    UPDATE_INTERVAL_MS = 250,
+    QUOTA_TTL_MS = 300, /* how long a computed quota is used */
+    SUM_TTL_MS = 200,   /* the same of the sum of a zone's limits */
+    /* How long boxes that join are sent that an endpoint has no limit any
+       more. */
+    ENDED_LIMIT_TTL_MS = 60000,
+    EARLY_MAX = 4096, /* limits of endpoints that are not registered yet */
+    /* Latest time at which a refused caller is told to retry. */
+    RETRY_MAX_MS = 5000,
+    RETRY_MIN_MS = 20,
+    /* How long after the refusal of a more urgent request less urgent ones
+       yield. */
+    YIELD_MS = 1000
 };
 
-/* So many of the less urgent requests leave their places to more urgent ones
-   that are refused meanwhile; not all, so that none starves. */
-#define YIELDS_SHARE 0.75
+/* Share of the less urgent requests that leave their slots to more urgent ones
+   that were refused lately; not all of them, so that none starves. */
+#define YIELD_SHARE 0.75
 
-/* The most that is believed of what another box tells. */
-#define PER_S_MOST 1e9
+/* Highest limit that is accepted from another box. */
+#define PER_S_MAX 1e9
 
-/* What a refused request leaves behind, by service. */
+/* State of refused requests, by service. */
 typedef struct Refusals {
-    int64_t next_us; /* when the last refused caller was told to come back */
-    int64_t at_us[WP_PRIORITIES]; /* the last one of each priority */
+    /* Retry time that the last refused caller was told. */
+    int64_t next_retry_us;
+    int64_t at_us[WP_PRIORITIES]; /* latest refusal by priority */
 } Refusals;
 
-/* What the endpoints of one service and zone take. */
-typedef struct PlaceSum {
+/* Sum of the limits of the endpoints of one service and zone. */
+typedef struct ZoneLimit {
     double per_s;
     int64_t at_us;
-} PlaceSum;
+} ZoneLimit;
 
 double wp_fleet_limit_of(const WPReplica *s)
 {
-    return s->said.limit ? s->said.limit->per_s : 0;
+    return s->reported.limit ? s->reported.limit->per_s : 0;
 }
 
 static uint64_t service_hash(const char *service)
@@ -45,160 +53,167 @@
     return wp_hash(wp_str(service), 0);
 }
 
-static WPLimit *limit_of(WPFleet *f, WPReplica *s, WPTime now)
+static WPLimit *get_limit(WPFleet *f, WPReplica *s, WPTime now)
 {
-    if (s->said.limit)
-        return s->said.limit;
-    s->said.limit = g_new0(WPLimit, 1);
-    s->said.limit->born_us = now.mono_us;
-    s->said.limit->place = wp_hash(wp_str(s->zone), service_hash(s->service));
+    if (s->reported.limit)
+        return s->reported.limit;
+    s->reported.limit = g_new0(WPLimit, 1);
+    s->reported.limit->born_us = now.mono_us;
+    s->reported.limit->place =
+        wp_hash(wp_str(s->zone), service_hash(s->service));
     g_ptr_array_add(f->limited, s);
-    return s->said.limit;
+    return s->reported.limit;
 }
 
 void wp_fleet_forget_limit(WPFleet *f, WPReplica *s)
 {
-    if (s->said.limit)
+    if (s->reported.limit)
         g_ptr_array_remove_fast(f->limited, s);
-    g_clear_pointer(&s->said.limit, g_free);
+    g_clear_pointer(&s->reported.limit, g_free);
 }
 
-static bool is_to_be_reported(WPLimit *l, WPTime now)
+static bool should_log_bad_field(WPLimit *l, WPTime now)
 {
     if (l->bad_us &&
-        now.mono_us - l->bad_us < (int64_t)BAD_AGAIN_MS * WP_US_PER_MS)
+        now.mono_us - l->bad_us < (int64_t)BAD_FIELD_INTERVAL_MS * WP_US_PER_MS)
         return false;
     l->bad_us = now.mono_us;
     return true;
 }
 
-/* Whether an answer may be older than what is believed: to a request that was
-   sent before that was known. A lower limit is believed all the same, as
-   nothing is risked by that. */
-static bool may_be_old(const WPLimit *l, double per_s, int64_t sent_us)
+/* Whether an answer may be older than the known limit: its request was sent
+   before that was known. A lower limit is accepted all the same, as nothing is
+   risked by that. */
+static bool may_be_outdated(const WPLimit *l, double per_s, int64_t sent_us)
 {
     bool lower = per_s > 0 && l->per_s > 0 && per_s < l->per_s;
     return l->number && !lower && sent_us < l->changed_us;
 }
 
-static void believe(WPFleet *f, WPLimit *l, WPTime now, double per_s)
+static void set_own_limit(WPFleet *f, WPLimit *l, WPTime now, double per_s)
 {
     wp_limit_set(l, now, per_s);
     l->number++;
     l->box = f->boxes.self.hash;
     l->untold = true;
-    f->limits_untold = true;
+    f->limits_unsent = true;
 }
 
-WPLimitChange wp_fleet_told_limit(WPFleet *f, WPReplica *s, WPTime now,
-                                  const WPLimitSeen *seen)
+WPLimitChange wp_fleet_record_limit(WPFleet *f, WPReplica *s, WPTime now,
+                                    const WPLimitReport *report)
 {
-    bool named = seen->field.said == WP_LIMIT_NAMED;
-    if (s->gone || (!s->said.limit && seen->field.said == WP_LIMIT_NONE))
-        return WP_LIMIT_SAME;
-    WPLimit *l = limit_of(f, s, now);
-    double per_s = named ? seen->field.per_s : 0;
+    bool named = report->field.said == WP_LIMIT_NAMED;
+    if (s->gone || (!s->reported.limit && report->field.said == WP_LIMIT_NONE))
+        return WP_LIMIT_UNCHANGED;
+    WPLimit *l = get_limit(f, s, now);
+    double per_s = named ? report->field.per_s : 0;
     l->heard_us = now.mono_us;
-    bool odd = seen->field.said == WP_LIMIT_BAD && is_to_be_reported(l, now);
-    bool counts = named || seen->genuine;
-    if (counts && l->per_s != per_s && !may_be_old(l, per_s, seen->sent_us)) {
-        believe(f, l, now, per_s);
+    bool invalid =
+        report->field.said == WP_LIMIT_BAD && should_log_bad_field(l, now);
+    bool counts = named || report->genuine;
+    if (counts && l->per_s != per_s &&
+        !may_be_outdated(l, per_s, report->sent_us)) {
+        set_own_limit(f, l, now, per_s);
         return WP_LIMIT_CHANGED;
     }
-    return odd ? WP_LIMIT_ODD : WP_LIMIT_SAME;
+    return invalid ? WP_LIMIT_REPORT_INVALID : WP_LIMIT_UNCHANGED;
 }
 
-static bool is_later(const WPLimitNews *n, uint32_t number, uint64_t box)
+static bool is_later(const WPLimitUpdate *n, uint32_t sequence,
+                     uint64_t origin_box)
 {
-    return n->number > number || (n->number == number && n->box > box);
+    return n->sequence > sequence ||
+           (n->sequence == sequence && n->origin_box > origin_box);
 }
 
-/* A box that starts is told of limits before it has the list of endpoints. */
-static void keep_early(WPFleet *f, const WPLimitNews *n)
+/* A box that starts receives limits before it has read the registry. */
+static void store_early_limit(WPFleet *f, const WPLimitUpdate *n)
 {
-    WPLimitNews *had = g_hash_table_lookup(f->early_limits, &n->endpoint);
-    if (had && is_later(n, had->number, had->box))
+    WPLimitUpdate *had = g_hash_table_lookup(f->early_limits, &n->endpoint);
+    if (had && is_later(n, had->sequence, had->origin_box))
         *had = *n;
     if (had)
         return;
-    if (g_hash_table_size(f->early_limits) >= EARLY_MOST) /* never listed */
+    /* Full: the endpoints of old entries were never registered. */
+    if (g_hash_table_size(f->early_limits) >= EARLY_MAX)
         g_hash_table_remove_all(f->early_limits);
     g_hash_table_insert(f->early_limits,
                         g_memdup2(&n->endpoint, sizeof(n->endpoint)),
                         g_memdup2(n, sizeof(*n)));
 }
 
-void wp_fleet_take_early_limit(WPFleet *f, WPTime now, const WPReplica *s)
+void wp_fleet_merge_early_limit(WPFleet *f, WPTime now, const WPReplica *s)
 {
-    const WPLimitNews *n = g_hash_table_lookup(f->early_limits, &s->life_hash);
+    const WPLimitUpdate *n =
+        g_hash_table_lookup(f->early_limits, &s->incarnation_hash);
     if (!n)
         return;
-    wp_fleet_hear_limit(f, now, n);
-    g_hash_table_remove(f->early_limits, &s->life_hash);
+    wp_fleet_merge_limit(f, now, n);
+    g_hash_table_remove(f->early_limits, &s->incarnation_hash);
 }
 
-WPReplica *wp_fleet_hear_limit(WPFleet *f, WPTime now, const WPLimitNews *n)
+WPReplica *wp_fleet_merge_limit(WPFleet *f, WPTime now, const WPLimitUpdate *n)
 {
     WPReplica *s = wp_fleet_by_hash(f, n->endpoint);
-    bool sane = n->per_s >= 0 && n->per_s <= PER_S_MOST;
-    if (!s && sane)
-        keep_early(f, n);
-    if (!s || !sane || (!s->said.limit && n->per_s <= 0))
+    bool valid = n->per_s >= 0 && n->per_s <= PER_S_MAX;
+    if (!s && valid)
+        store_early_limit(f, n);
+    if (!s || !valid || (!s->reported.limit && n->per_s <= 0))
         return NULL;
-    WPLimit *l = limit_of(f, s, now);
+    WPLimit *l = get_limit(f, s, now);
     if (!is_later(n, l->number, l->box))
         return NULL;
     if (l->per_s != n->per_s)
         wp_limit_set(l, now, n->per_s);
-    l->number = n->number;
-    l->box = n->box;
+    l->number = n->sequence;
+    l->box = n->origin_box;
     l->untold = true;
-    f->limits_untold = true;
+    f->limits_unsent = true;
     return s;
 }
 
-static WPLimitNews news_of(const WPReplica *s)
+static WPLimitUpdate update_of(const WPReplica *s)
 {
-    const WPLimit *l = s->said.limit;
-    return (WPLimitNews){ s->life_hash, l->per_s, l->number, l->box };
+    const WPLimit *l = s->reported.limit;
+    return (WPLimitUpdate){ s->incarnation_hash, l->per_s, l->number, l->box };
 }
 
-size_t wp_fleet_tell_limits(WPFleet *f, WPTime now, WPLimitNews *out,
-                            size_t most)
+size_t wp_fleet_take_unsent_limits(WPFleet *f, WPTime now, WPLimitUpdate *out,
+                                   size_t max)
 {
     size_t n = 0;
-    if (!f->limits_untold)
+    if (!f->limits_unsent)
         return 0;
-    f->limits_untold = false;
+    f->limits_unsent = false;
     for (guint i = 0; i < f->limited->len; i++) {
         const WPReplica *s = g_ptr_array_index(f->limited, i);
-        WPLimit *l = s->said.limit;
+        WPLimit *l = s->reported.limit;
         int64_t age_us = now.mono_us - l->told_us;
-        bool due = !l->told_us || age_us >= TELL_LEAST_MS * WP_US_PER_MS;
+        bool due = !l->told_us || age_us >= UPDATE_INTERVAL_MS * WP_US_PER_MS;
         if (!l->untold)
             continue;
-        if (!due || n == most) {
-            f->limits_untold = true;
+        if (!due || n == max) {
+            f->limits_unsent = true;
             continue;
         }
-        out[n++] = news_of(s);
+        out[n++] = update_of(s);
         l->untold = false;
         l->told_us = now.mono_us;
     }
     return n;
 }
 
-bool wp_fleet_any_untold_limit(const WPFleet *f)
+bool wp_fleet_has_unsent_limits(const WPFleet *f)
 {
-    return f->limits_untold;
+    return f->limits_unsent;
 }
 
-void wp_fleet_each_limit(WPFleet *f, void (*fn)(void *, const WPLimitNews *),
+void wp_fleet_each_limit(WPFleet *f, void (*fn)(void *, const WPLimitUpdate *),
                          void *arg)
 {
     for (guint i = 0; i < f->limited->len; i++) {
-        const WPLimitNews n = news_of(g_ptr_array_index(f->limited, i));
-        if (n.number)
+        const WPLimitUpdate n = update_of(g_ptr_array_index(f->limited, i));
+        if (n.sequence)
             fn(arg, &n);
     }
 }
@@ -207,30 +222,31 @@
 {
     for (guint i = f->limited->len; i-- > 0;) {
         WPReplica *s = g_ptr_array_index(f->limited, i);
-        const WPLimit *l = s->said.limit;
+        const WPLimit *l = s->reported.limit;
         int64_t age_us = now.mono_us - MAX(l->changed_us, l->heard_us);
         if (wp_limit_rate(l, now) > 0)
             wp_demand_want(f->demand, now, service_hash(s->service));
-        else if (age_us > (int64_t)FORGOTTEN_MS * WP_US_PER_MS)
+        else if (age_us > (int64_t)ENDED_LIMIT_TTL_MS * WP_US_PER_MS)
             wp_fleet_forget_limit(f, s);
     }
 }
 
-static double place_per_s(WPFleet *f, WPTime now, uint64_t place)
+static double zone_limit_per_s(WPFleet *f, WPTime now, uint64_t zone_key)
 {
-    PlaceSum *p = g_hash_table_lookup(f->limit_sums, &place);
+    ZoneLimit *p = g_hash_table_lookup(f->limit_sums, &zone_key);
     if (!p) {
-        p = g_new0(PlaceSum, 1);
-        g_hash_table_insert(f->limit_sums, g_memdup2(&place, sizeof(place)), p);
+        p = g_new0(ZoneLimit, 1);
+        g_hash_table_insert(f->limit_sums,
+                            g_memdup2(&zone_key, sizeof(zone_key)), p);
     }
-    if (p->at_us && now.mono_us - p->at_us < SUM_MS * WP_US_PER_MS)
+    if (p->at_us && now.mono_us - p->at_us < SUM_TTL_MS * WP_US_PER_MS)
         return p->per_s;
     p->at_us = now.mono_us;
     p->per_s = 0;
     for (guint i = 0; i < f->limited->len; i++) {
         const WPReplica *s = g_ptr_array_index(f->limited, i);
-        if (s->said.limit->place == place)
-            p->per_s += wp_limit_rate(s->said.limit, now);
+        if (s->reported.limit->place == zone_key)
+            p->per_s += wp_limit_rate(s->reported.limit, now);
     }
     return p->per_s;
 }
@@ -238,15 +254,15 @@
 static unsigned quota_of(WPFleet *f, WPTime now, const WPReplica *s,
                          unsigned part)
 {
-    WPLimit *l = s->said.limit;
+    WPLimit *l = s->reported.limit;
     bool fresh = l->quota_us && l->quota_part == part &&
-                 now.mono_us - l->quota_us < QUOTA_MS * WP_US_PER_MS;
+                 now.mono_us - l->quota_us < QUOTA_TTL_MS * WP_US_PER_MS;
     if (fresh)
         return l->quota;
     const WPDemandFor e = { .service = service_hash(s->service),
-                            .endpoint = s->life_hash,
+                            .endpoint = s->incarnation_hash,
                             .zone = s->zone,
-                            .zone_per_s = place_per_s(f, now, l->place),
+                            .zone_per_s = zone_limit_per_s(f, now, l->place),
                             .part = part };
     l->quota = wp_demand_quota(f->demand, now, &f->boxes, &e);
     l->quota_part = part;
@@ -254,20 +270,20 @@
     return l->quota;
 }
 
-int64_t wp_fleet_limit_free_us(WPFleet *f, WPTime now, const WPReplica *s)
+int64_t wp_fleet_limit_next_send_us(WPFleet *f, WPTime now, const WPReplica *s)
 {
-    if (!s->said.limit)
+    if (!s->reported.limit)
         return 0;
-    const WPLimitWindow w = wp_limit_window(s->said.limit, now);
+    const WPLimitWindow w = wp_limit_window(s->reported.limit, now);
     if (!w.part)
         return 0;
-    return wp_limit_free_us(s->said.limit, now, &w,
+    return wp_limit_free_us(s->reported.limit, now, &w,
                             quota_of(f, now, s, w.part));
 }
 
 double wp_fleet_limit_own_rate(WPFleet *f, WPTime now, const WPReplica *s)
 {
-    const WPLimitWindow w = wp_limit_window(s->said.limit, now);
+    const WPLimitWindow w = wp_limit_window(s->reported.limit, now);
     if (!w.part)
         return 0;
     return (double)quota_of(f, now, s, w.part) * WP_US_PER_S / (double)w.us;
@@ -283,44 +299,46 @@
     return r;
 }
 
-/* In the order of places that come free at this box, so that callers do not all
-   come back in the same instant; whoever would be too late by that, any time.
- */
-static int64_t come_back_us(WPFleet *f, Refusals *r, WPTime now,
-                            const WPBarred *met)
+/* In the order in which slots become free for this box, so that callers do not
+   all retry at the same moment; a caller that would be too late by that is
+   given a random time. */
+static int64_t retry_at_us(WPFleet *f, Refusals *r, WPTime now,
+                           const WPExcludedEndpoints *excluded)
 {
-    int64_t most_us = now.mono_us + (int64_t)RETURN_MOST_MS * WP_US_PER_MS;
-    int64_t least_us = now.mono_us + RETURN_LEAST_MS * WP_US_PER_MS;
-    int64_t first_us = MAX(least_us, met->free_us);
+    int64_t max_us = now.mono_us + (int64_t)RETRY_MAX_MS * WP_US_PER_MS;
+    int64_t min_us = now.mono_us + RETRY_MIN_MS * WP_US_PER_MS;
+    int64_t first_us = MAX(min_us, excluded->next_send_us);
     int64_t at_us = first_us;
-    if (met->own_per_s > 0)
+    if (excluded->own_per_s > 0)
         at_us =
-            MAX(r->next_us + (int64_t)(WP_US_PER_S / met->own_per_s), first_us);
-    if (met->own_per_s > 0 && at_us <= most_us) {
-        r->next_us = at_us;
+            MAX(r->next_retry_us + (int64_t)(WP_US_PER_S / excluded->own_per_s),
+                first_us);
+    if (excluded->own_per_s > 0 && at_us <= max_us) {
+        r->next_retry_us = at_us;
         return at_us;
     }
-    return least_us +
-           (int64_t)(g_rand_double(f->rand) * (double)(most_us - least_us));
+    return min_us +
+           (int64_t)(g_rand_double(f->rand) * (double)(max_us - min_us));
 }
 
-uint32_t wp_fleet_limit_refused(WPFleet *f, WPTime now, const WPWant *w,
-                                const WPBarred *met)
+uint32_t wp_fleet_limit_refused(WPFleet *f, WPTime now,
+                                const WPEndpointQuery *q,
+                                const WPExcludedEndpoints *excluded)
 {
-    Refusals *r = refusals_of(f, w->service);
-    r->at_us[CLAMP(w->priority, 0, WP_PRIORITIES - 1)] = now.mono_us;
-    int64_t us = come_back_us(f, r, now, met) - now.mono_us;
+    Refusals *r = refusals_of(f, q->service);
+    r->at_us[CLAMP(q->priority, 0, WP_PRIORITIES - 1)] = now.mono_us;
+    int64_t us = retry_at_us(f, r, now, excluded) - now.mono_us;
     return (uint32_t)(us / WP_US_PER_MS) + 1;
 }
 
-bool wp_fleet_limit_yields(WPFleet *f, WPTime now, const WPWant *w)
+bool wp_fleet_limit_yields(WPFleet *f, WPTime now, const WPEndpointQuery *q)
 {
-    const Refusals *r = g_hash_table_lookup(f->refusals, w->service);
-    if (!r || w->draw >= YIELDS_SHARE)
+    const Refusals *r = g_hash_table_lookup(f->refusals, q->service);
+    if (!r || q->random >= YIELD_SHARE)
         return false;
-    for (int i = 0; i < MIN(w->priority, WP_PRIORITIES); i++)
+    for (int i = 0; i < MIN(q->priority, WP_PRIORITIES); i++)
         if (r->at_us[i] &&
-            now.mono_us - r->at_us[i] < (int64_t)YIELDS_MS * WP_US_PER_MS)
+            now.mono_us - r->at_us[i] < (int64_t)YIELD_MS * WP_US_PER_MS)
             return true;
     return false;
 }
@@ -330,12 +348,12 @@
     return f->demand;
 }
 
-bool wp_fleet_tell_zone_demand(WPFleet *f, WPTime now, WPDemandNews *out)
+bool wp_fleet_take_unsent_zone_demand(WPFleet *f, WPTime now, WPDemandNews *out)
 {
     return wp_demand_tell_zone(f->demand, now, &f->boxes, out);
 }
 
-void wp_fleet_asked(WPFleet *f, WPTime now, const char *service)
+void wp_fleet_count_request(WPFleet *f, WPTime now, const char *service)
 {
     wp_demand_asked(f->demand, now, service_hash(service));
 }
--- a/src/wp_fleet_notice.c
+++ b/src/wp_fleet_notice.c
@@ -1,217 +1,236 @@
-/* Endpoints that leave, and endpoints that want nothing from this box for a
- * while: what is believed, told and kept to. */
+/* Endpoints that are draining, and endpoints that asked this box for back-off:
+ * the known state, its updates to other boxes, and what outlives registry
+ * entries. */
 #include "wp_fleet_int.h"
 
 enum {
-    BAD_AGAIN_MS = 10000, /* between two reports of one endpoint's bad fields */
-    REST_MOST_S = 1200,   /* a longer rest is asked about again, so that a slip
-                             of units does not keep an endpoint out for good */
-    REST_NEWS_MS = 250,   /* a later end is told on if it is so much later */
-    REST_HEARD_MS = 5000, /* the longest rest that is believed of others: it may
-                             be meant for them alone */
-    UNLISTED_MOST = 4096,
-    UNLISTED_LASTS_S = 600
+    /* Minimum time between two logged reports of invalid fields of one
+       endpoint. */
+    BAD_FIELD_INTERVAL_MS = 10000,
+    /* A longer back-off is cut to this, after which the endpoint is asked
+       again, so that a wrong unit does not exclude an endpoint for good. */
+    BACKOFF_MAX_S = 1200,
+    /* A later end is sent to other boxes if it is later by at least this. */
+    BACKOFF_UPDATE_MIN_MS = 250,
+    /* Longest back-off that is accepted from other boxes: it may be meant for
+       them alone. */
+    REMOTE_BACKOFF_MAX_MS = 5000,
+    UNREGISTERED_MAX = 4096,
+    UNREGISTERED_TTL_S = 600
 };
 
-/* What a life has said that is not listed, at present or yet. */
-typedef struct Unlisted {
+/* What an incarnation has reported that is not registered, at present or
+   yet. */
+typedef struct Unregistered {
     int64_t at_us;
-    bool leaving;
-    int64_t rest_until_us;
-} Unlisted;
+    bool draining;
+    int64_t backoff_until_us;
+} Unregistered;
 
-static gboolean is_old(gpointer key, gpointer value, gpointer arg)
+static gboolean is_expired(gpointer key, gpointer value, gpointer arg)
 {
-    const Unlisted *u = value;
+    const Unregistered *u = value;
     const WPTime *now = arg;
     (void)key;
-    return now->mono_us - u->at_us > (int64_t)UNLISTED_LASTS_S * WP_US_PER_S;
+    return now->mono_us - u->at_us > (int64_t)UNREGISTERED_TTL_S * WP_US_PER_S;
 }
 
-static Unlisted *unlisted_of(WPFleet *f, WPTime now, uint64_t life)
+static Unregistered *get_unregistered(WPFleet *f, WPTime now,
+                                      uint64_t incarnation)
 {
-    Unlisted *u = g_hash_table_lookup(f->unlisted, &life);
-    if (!u && g_hash_table_size(f->unlisted) >= UNLISTED_MOST)
-        g_hash_table_foreach_remove(f->unlisted, is_old, &now);
-    if (!u && g_hash_table_size(f->unlisted) >= UNLISTED_MOST)
-        g_hash_table_remove_all(f->unlisted);
+    Unregistered *u = g_hash_table_lookup(f->unregistered, &incarnation);
+    if (!u && g_hash_table_size(f->unregistered) >= UNREGISTERED_MAX)
+        g_hash_table_foreach_remove(f->unregistered, is_expired, &now);
+    if (!u && g_hash_table_size(f->unregistered) >= UNREGISTERED_MAX)
+        g_hash_table_remove_all(f->unregistered);
     if (!u) {
-        u = g_new0(Unlisted, 1);
-        g_hash_table_insert(f->unlisted, g_memdup2(&life, sizeof(life)), u);
+        u = g_new0(Unregistered, 1);
+        g_hash_table_insert(f->unregistered,
+                            g_memdup2(&incarnation, sizeof(incarnation)), u);
     }
     u->at_us = now.mono_us;
     return u;
 }
 
-static void believe_leaving(WPFleet *f, WPReplica *s, WPNoticeFrom from)
+static void set_draining(WPFleet *f, WPReplica *s, WPNoticeFrom from)
 {
-    s->said.leaving = (WPLeaving){ .from = from, .untold = true };
-    f->leaving_untold = true;
-    g_ptr_array_add(f->leaving, s);
+    s->reported.leaving = (WPLeaving){ .from = from, .untold = true };
+    f->draining_unsent = true;
+    g_ptr_array_add(f->draining, s);
 }
 
-/* The endpoint of this life that is listed now; `s` may have been taken out of
-   the list since its request was sent, and its life have come back. */
-static WPReplica *listed(WPFleet *f, WPReplica *s)
+/* The registered endpoint of the same incarnation, or NULL: `s` may have been
+   removed from the registry since its request was sent, and its incarnation
+   registered again. */
+static WPReplica *registered_endpoint(WPFleet *f, WPReplica *s)
 {
-    WPReplica *live = s->gone ? wp_fleet_by_hash(f, s->life_hash) : s;
-    return live && live->life_hash == s->life_hash ? live : NULL;
+    WPReplica *live = s->gone ? wp_fleet_by_hash(f, s->incarnation_hash) : s;
+    return live && live->incarnation_hash == s->incarnation_hash ? live : NULL;
 }
 
-static int64_t believed_of_others_us(WPTime now, int64_t until_us)
+static int64_t remote_backoff_until_us(WPTime now, int64_t until_us)
 {
-    int64_t most_us = now.mono_us + (int64_t)REST_HEARD_MS * WP_US_PER_MS;
-    return MIN(until_us, most_us);
+    int64_t max_us =
+        now.mono_us + (int64_t)REMOTE_BACKOFF_MAX_MS * WP_US_PER_MS;
+    return MIN(until_us, max_us);
 }
 
-/* Of two boxes that are told of one rest the second has mostly heard of it. */
-static void tell_rest(WPFleet *f, WPTime now, WPReplica *s)
+/* If two boxes are told of the same back-off, the second has mostly received
+   the first one's update and sends none. */
+static void mark_backoff_unsent(WPFleet *f, WPTime now, WPReplica *s)
 {
-    int64_t until_us = believed_of_others_us(now, s->said.rest_until_us);
-    if (until_us < s->said.rest_known_us + REST_NEWS_MS * WP_US_PER_MS)
+    int64_t until_us = remote_backoff_until_us(now, s->reported.rest_until_us);
+    if (until_us <
+        s->reported.rest_known_us + BACKOFF_UPDATE_MIN_MS * WP_US_PER_MS)
         return;
-    s->said.rest_known_us = until_us;
-    if (!s->said.rest_untold)
-        g_ptr_array_add(f->rested_by, s);
-    s->said.rest_untold = true;
-    f->rests_untold = true;
+    s->reported.rest_known_us = until_us;
+    if (!s->reported.rest_untold)
+        g_ptr_array_add(f->unsent_backoffs, s);
+    s->reported.rest_untold = true;
+    f->backoffs_unsent = true;
 }
 
-static void believe_rest(WPFleet *f, WPReplica *s, int64_t until_us)
+static void set_backoff(WPFleet *f, WPReplica *s, int64_t until_us)
 {
-    if (!g_ptr_array_find(f->resting, s, NULL))
-        g_ptr_array_add(f->resting, s);
-    s->said.rest_until_us = MAX(s->said.rest_until_us, until_us);
+    if (!g_ptr_array_find(f->backing_off, s, NULL))
+        g_ptr_array_add(f->backing_off, s);
+    s->reported.rest_until_us = MAX(s->reported.rest_until_us, until_us);
 }
 
-bool wp_fleet_told_leaving(WPFleet *f, WPReplica *s, WPTime now)
+bool wp_fleet_record_draining(WPFleet *f, WPReplica *s, WPTime now)
 {
-    WPReplica *l = listed(f, s);
+    WPReplica *l = registered_endpoint(f, s);
     if (!l)
-        unlisted_of(f, now, s->life_hash)->leaving = true;
-    /* Its own word outlasts the list's. */
-    if (!l || l->said.leaving.from > WP_FROM_LIST)
+        get_unregistered(f, now, s->incarnation_hash)->draining = true;
+    /* What the endpoint itself reports outlives its registry entry, so it
+       replaces a state that came from the registry. */
+    if (!l || l->reported.leaving.from > WP_FROM_LIST)
         return false;
-    bool is_new = !l->said.leaving.from;
-    believe_leaving(f, l, WP_FROM_ANSWER);
+    bool is_new = !l->reported.leaving.from;
+    set_draining(f, l, WP_FROM_ANSWER);
     return is_new;
 }
 
-/* Only its time and a new life end a rest: requests that end well there
-   meanwhile were sent before the word. A shorter one cuts none short. */
-bool wp_fleet_told_rest(WPFleet *f, WPReplica *s, WPTime now, double rest_s)
+/* Only its end and a new incarnation end a back-off: requests that succeed
+   there meanwhile were sent before it. A shorter back-off does not cut a
+   longer one short. */
+bool wp_fleet_record_backoff(WPFleet *f, WPReplica *s, WPTime now,
+                             double backoff_s)
 {
-    double us = MIN(rest_s, (double)REST_MOST_S) * WP_US_PER_S;
+    double us = MIN(backoff_s, (double)BACKOFF_MAX_S) * WP_US_PER_S;
     int64_t until_us = now.mono_us + (int64_t)us;
-    WPReplica *l = listed(f, s);
+    WPReplica *l = registered_endpoint(f, s);
     if (!l) {
-        Unlisted *u = unlisted_of(f, now, s->life_hash);
-        u->rest_until_us = MAX(u->rest_until_us, until_us);
+        Unregistered *u = get_unregistered(f, now, s->incarnation_hash);
+        u->backoff_until_us = MAX(u->backoff_until_us, until_us);
         return false;
     }
-    bool is_new = !wp_fleet_rests(l, now);
-    believe_rest(f, l, until_us);
-    tell_rest(f, now, l);
+    bool is_new = !wp_fleet_is_backing_off(l, now);
+    set_backoff(f, l, until_us);
+    mark_backoff_unsent(f, now, l);
     return is_new;
 }
 
-/* Not passed on: with each box its end would come later by its time on the way,
-   and it might go round for good. */
-void wp_fleet_hear_rest(WPFleet *f, WPTime now, const WPRestNews *n)
+/* Not sent on: with each box its end would become later by the time of the
+   transfer, and it might circulate forever. */
+void wp_fleet_merge_backoff(WPFleet *f, WPTime now, const WPBackoffUpdate *n)
 {
     WPReplica *s = wp_fleet_by_hash(f, n->endpoint);
     int64_t until_us = now.mono_us + (int64_t)n->left_ms * WP_US_PER_MS;
     if (s)
-        s->said.rest_known_us =
-            MAX(s->said.rest_known_us, believed_of_others_us(now, until_us));
+        s->reported.rest_known_us = MAX(s->reported.rest_known_us,
+                                        remote_backoff_until_us(now, until_us));
 }
 
-size_t wp_fleet_tell_rests(WPFleet *f, WPTime now, WPRestNews *out, size_t most)
+size_t wp_fleet_take_unsent_backoffs(WPFleet *f, WPTime now,
+                                     WPBackoffUpdate *out, size_t max)
 {
     size_t n = 0;
-    while (f->rested_by->len && n < most) {
-        WPReplica *s = g_ptr_array_steal_index_fast(f->rested_by, 0);
-        int64_t left_us = s->said.rest_known_us - now.mono_us;
-        s->said.rest_untold = false;
+    while (f->unsent_backoffs->len && n < max) {
+        WPReplica *s = g_ptr_array_steal_index_fast(f->unsent_backoffs, 0);
+        int64_t left_us = s->reported.rest_known_us - now.mono_us;
+        s->reported.rest_untold = false;
         if (left_us > 0)
-            out[n++] = (WPRestNews){ s->life_hash,
-                                     (uint32_t)(left_us / WP_US_PER_MS) };
+            out[n++] = (WPBackoffUpdate){ s->incarnation_hash,
+                                          (uint32_t)(left_us / WP_US_PER_MS) };
     }
-    f->rests_untold = f->rested_by->len > 0;
+    f->backoffs_unsent = f->unsent_backoffs->len > 0;
     return n;
 }
 
-bool wp_fleet_any_untold_rest(const WPFleet *f)
+bool wp_fleet_has_unsent_backoffs(const WPFleet *f)
 {
-    return f->rests_untold;
+    return f->backoffs_unsent;
 }
 
-bool wp_fleet_rests(const WPReplica *s, WPTime now)
+bool wp_fleet_is_backing_off(const WPReplica *s, WPTime now)
 {
-    return s->said.rest_until_us > now.mono_us;
+    return s->reported.rest_until_us > now.mono_us;
 }
 
-bool wp_fleet_told_bad(WPReplica *s, WPTime now)
+bool wp_fleet_should_report_bad_field(WPReplica *s, WPTime now)
 {
-    int64_t age_us = now.mono_us - s->said.bad_us;
-    if (s->said.bad_us && age_us < (int64_t)BAD_AGAIN_MS * WP_US_PER_MS)
+    int64_t age_us = now.mono_us - s->reported.bad_us;
+    if (s->reported.bad_us &&
+        age_us < (int64_t)BAD_FIELD_INTERVAL_MS * WP_US_PER_MS)
         return false;
-    s->said.bad_us = now.mono_us;
+    s->reported.bad_us = now.mono_us;
     return true;
 }
 
-WPReplica *wp_fleet_hear_leaving(WPFleet *f, WPTime now, uint64_t life)
+WPReplica *wp_fleet_merge_draining(WPFleet *f, WPTime now, uint64_t incarnation)
 {
-    WPReplica *s = wp_fleet_by_hash(f, life);
-    if (!s || s->life_hash != life) {
-        unlisted_of(f, now, life)->leaving = true;
+    WPReplica *s = wp_fleet_by_hash(f, incarnation);
+    if (!s || s->incarnation_hash != incarnation) {
+        get_unregistered(f, now, incarnation)->draining = true;
         return NULL;
     }
-    if (s->said.leaving.from)
+    if (s->reported.leaving.from)
         return NULL;
-    believe_leaving(f, s, WP_FROM_BOX);
+    set_draining(f, s, WP_FROM_BOX);
     return s;
 }
 
-size_t wp_fleet_tell_leaving(WPFleet *f, uint64_t *out, size_t most)
+size_t wp_fleet_take_unsent_draining(WPFleet *f, uint64_t *out, size_t max)
 {
     size_t n = 0;
-    if (!f->leaving_untold)
+    if (!f->draining_unsent)
         return 0;
-    f->leaving_untold = false;
-    for (guint i = 0; i < f->leaving->len; i++) {
-        WPReplica *s = g_ptr_array_index(f->leaving, i);
-        if (!s->said.leaving.untold)
+    f->draining_unsent = false;
+    for (guint i = 0; i < f->draining->len; i++) {
+        WPReplica *s = g_ptr_array_index(f->draining, i);
+        if (!s->reported.leaving.untold)
             continue;
-        if (n == most) {
-            f->leaving_untold = true;
+        if (n == max) {
+            f->draining_unsent = true;
             break;
         }
-        out[n++] = s->life_hash;
-        s->said.leaving.untold = false;
+        out[n++] = s->incarnation_hash;
+        s->reported.leaving.untold = false;
     }
     return n;
 }
 
-bool wp_fleet_any_untold_leaving(const WPFleet *f)
+bool wp_fleet_has_unsent_draining(const WPFleet *f)
 {
-    return f->leaving_untold;
+    return f->draining_unsent;
 }
 
-void wp_fleet_each_leaving(WPFleet *f, void (*fn)(void *, uint64_t), void *arg)
+void wp_fleet_each_draining(WPFleet *f, void (*fn)(void *, uint64_t), void *arg)
 {
-    for (guint i = 0; i < f->leaving->len; i++)
-        fn(arg, ((WPReplica *)g_ptr_array_index(f->leaving, i))->life_hash);
+    for (guint i = 0; i < f->draining->len; i++)
+        fn(arg,
+           ((WPReplica *)g_ptr_array_index(f->draining, i))->incarnation_hash);
 }
 
-WPReplica *wp_fleet_rested(WPFleet *f, WPTime now)
+WPReplica *wp_fleet_next_backoff_ended(WPFleet *f, WPTime now)
 {
-    for (guint i = 0; i < f->resting->len; i++) {
-        WPReplica *s = g_ptr_array_index(f->resting, i);
-        if (wp_fleet_rests(s, now))
+    for (guint i = 0; i < f->backing_off->len; i++) {
+        WPReplica *s = g_ptr_array_index(f->backing_off, i);
+        if (wp_fleet_is_backing_off(s, now))
             continue;
-        g_ptr_array_remove_index_fast(f->resting, i);
-        return wp_fleet_hold(s);
+        g_ptr_array_remove_index_fast(f->backing_off, i);
+        return wp_replica_ref(s);
     }
     return NULL;
 }
@@ -224,37 +243,38 @@
     g_hash_table_iter_init(&it, f->by_id);
     while (g_hash_table_iter_next(&it, NULL, &p)) {
         const WPReplica *s = p;
-        n.leaving += s->said.leaving.from != WP_FROM_NOBODY;
-        n.resting += wp_fleet_rests(s, now);
+        n.draining += s->reported.leaving.from != WP_FROM_NOBODY;
+        n.backing_off += wp_fleet_is_backing_off(s, now);
     }
     return n;
 }
 
-void wp_fleet_keep_notices(WPFleet *f, WPTime now, const WPReplica *s)
+void wp_fleet_save_notices(WPFleet *f, WPTime now, const WPReplica *s)
 {
-    bool leaves = s->said.leaving.from > WP_FROM_LIST;
-    if (!leaves && !wp_fleet_rests(s, now))
+    bool is_draining = s->reported.leaving.from > WP_FROM_LIST;
+    if (!is_draining && !wp_fleet_is_backing_off(s, now))
         return;
-    Unlisted *u = unlisted_of(f, now, s->life_hash);
-    u->leaving = leaves;
-    u->rest_until_us = s->said.rest_until_us;
+    Unregistered *u = get_unregistered(f, now, s->incarnation_hash);
+    u->draining = is_draining;
+    u->backoff_until_us = s->reported.rest_until_us;
 }
 
-void wp_fleet_take_notices(WPFleet *f, WPReplica *s)
+void wp_fleet_restore_notices(WPFleet *f, WPReplica *s)
 {
-    const Unlisted *u = g_hash_table_lookup(f->unlisted, &s->life_hash);
+    const Unregistered *u =
+        g_hash_table_lookup(f->unregistered, &s->incarnation_hash);
     if (!u)
         return;
-    if (u->leaving)
-        believe_leaving(f, s, WP_FROM_BOX);
-    if (u->rest_until_us)
-        believe_rest(f, s, u->rest_until_us);
-    g_hash_table_remove(f->unlisted, &s->life_hash);
+    if (u->draining)
+        set_draining(f, s, WP_FROM_BOX);
+    if (u->backoff_until_us)
+        set_backoff(f, s, u->backoff_until_us);
+    g_hash_table_remove(f->unregistered, &s->incarnation_hash);
 }
 
 void wp_fleet_forget_notices(WPFleet *f, WPReplica *s)
 {
-    g_ptr_array_remove_fast(f->leaving, s);
-    g_ptr_array_remove_fast(f->resting, s);
-    g_ptr_array_remove_fast(f->rested_by, s);
+    g_ptr_array_remove_fast(f->draining, s);
+    g_ptr_array_remove_fast(f->backing_off, s);
+    g_ptr_array_remove_fast(f->unsent_backoffs, s);
 }
--- a/src/wp_fleet_pick.c
+++ b/src/wp_fleet_pick.c
@@ -1,142 +1,162 @@
-/* Which endpoint takes a request. */
+/* Choice of the endpoint for a request. */
 #include "wp_fleet_int.h"
 
-/* Weights of a replica's score, in places: 1 is a replica whose every place
-   is taken. The lowest score wins. */
-#define FAILING 2.0      /* times its rate of failures */
-#define FAILING_ONCE 6.0 /* the same, for what may not be repeated */
-#define AVOIDED 20.0     /* chosen only when nothing else is left */
-#define COLD 0.3         /* has just started */
-#define RESTING 1.0      /* refuses other boxes: likely this one as well */
-#define LIMITED 0.5      /* preferred: its limit has room for this box */
-#define UNHEARD 1.0      /* the same, and it has not answered for long */
-#define JITTER 0.02      /* so that boxes with one view do not herd */
-
-/* A version that fails on loaded endpoints is passed over on those from this
-   share of their places on, a little before it is seen to fail, as what others
-   send there is not known at once. */
+/* Weights of an endpoint's score; 1 is the score of a fully utilized endpoint.
+   The lowest score wins. */
+#define FAILURE_WEIGHT 2.0 /* times its failure rate */
+/* Times its failure rate, for requests that must not be repeated. */
+#define NON_REPEATABLE_FAILURE_WEIGHT 6.0
+#define AVOIDED_PENALTY 20.0 /* chosen only if there is no other endpoint */
+#define COLD_PENALTY 0.3     /* it has just started */
+/* The endpoint refuses other boxes, so it likely refuses this one. */
+#define REMOTE_BACKOFF_PENALTY 1.0
+#define LIMIT_BONUS 0.5 /* bonus if its rate limit has room for this box */
+/* Larger bonus of an endpoint whose rate limit has room and that has not
+   answered for long. */
+#define SILENT_LIMIT_BONUS 1.0
+/* Random addition, so that boxes with the same view do not pick the same
+   one. */
+#define JITTER 0.02
+
+/* A version that fails under load is not sent to endpoints from this
+   utilization on while others are free: a little below the utilization at
+   which failures are observed, as the requests of other boxes are not known at
+   once. */
 #define FULL_FROM 0.4
-#define LOADED 5.0 /* the weight of a loaded one, in places */
-
-/* Such a version is spared work from this share of all its places on, as what
-   runs goes on for seconds. */
-#define SPARE_FROM 0.3
-
-/* A request under which two endpoints have ended goes to the one that has the
-   least to lose: fewer other requests lose their endpoint with it. */
-#define SUSPECT_ALONE 10.0
-#define SUSPECT_ALONE_FROM 2
-
-/* An endpoint that names a limit has to be asked now and then whether it still
-   does. */
-enum { UNHEARD_MS = 3000 };
-
-/* Whether it may take the request once what passes by itself has passed. */
-static bool may_take(const WPWant *w, const WPReplica *s)
+/* Penalty of an endpoint with that utilization. */
+#define LOADED_PENALTY 5.0
+
+/* Such a version gets less work from this utilization of all its endpoints on,
+   as running requests go on for seconds. */
+#define REDUCE_LOAD_FROM 0.3
+
+/* A request during which two endpoints have crashed goes to the endpoint with
+   the fewest requests: if that crashes too, fewer other requests lose their
+   endpoint. */
+#define SUSPECT_WEIGHT 10.0
+#define SUSPECT_FROM 2
+
+/* An endpoint with a rate limit has to be sent a request now and then to learn
+   whether the limit still holds. */
+enum { LIMIT_PROBE_MS = 3000 };
+
+/* Whether the endpoint may take the request, apart from exclusions that end by
+   themselves. */
+static bool is_eligible(const WPEndpointQuery *q, const WPReplica *s)
 {
-    return wp_fleet_suits(w, s) && !wp_fleet_lasting_bar(s);
+    return wp_fleet_matches(q, s) && !wp_fleet_lasting_exclusion(s);
 }
 
-bool wp_fleet_spares(WPFleet *f, WPTime now, const WPWant *w,
-                     const char *version)
+bool wp_fleet_should_reduce_load(WPFleet *f, WPTime now,
+                                 const WPEndpointQuery *q, const char *version)
 {
-    return wp_fleet_fails_loaded(f, now, w->service, version) &&
-           wp_fleet_pressure(f, now, w) >= SPARE_FROM;
+    return wp_fleet_fails_under_load(f, now, q->service, version) &&
+           wp_fleet_service_utilization(f, now, q) >= REDUCE_LOAD_FROM;
 }
 
 #define KB 1024.0
 
-static double engine_score(const WPFleet *f, WPTime now, const WPWant *w,
-                           const WPReplica *s, uint32_t own,
-                           const WPKeepers *keepers, bool home)
+static double engine_score(const WPFleet *f, WPTime now,
+                           const WPEndpointQuery *q, const WPReplica *s,
+                           uint32_t cached, const WPCacheHolders *holders,
+                           bool affine)
 {
-    const WPBid b = wp_bid(&f->rules, now, w, s, own, keepers);
-    double v = b.cost - (home ? f->rules.home : 0);
-    if (strcmp(s->zone, w->zone))
-        v += f->rules.zone_kb * w->body_bytes / KB;
+    const WPEngineCost b =
+        wp_engine_cost(&f->rules, now, q, s, cached, holders);
+    double v = b.cost - (affine ? f->rules.affinity_weight : 0);
+    if (strcmp(s->zone, q->zone))
+        v += f->rules.zone_weight_per_kb * q->body_bytes / KB;
     return v;
 }
 
-/* Of one that is not spared: what it takes is to be used. */
+/* For an endpoint whose rate limit does not exclude it: what it takes should
+   be used. */
 static double limit_bonus(const WPLimit *l, WPTime now)
 {
-    bool unheard = now.mono_us - l->heard_us > UNHEARD_MS * WP_US_PER_MS;
-    return unheard ? UNHEARD : LIMITED;
+    bool is_silent = now.mono_us - l->heard_us > LIMIT_PROBE_MS * WP_US_PER_MS;
+    return is_silent ? SILENT_LIMIT_BONUS : LIMIT_BONUS;
 }
 
-/* Of one that names a limit it is not known: what gets few requests is hardly
-   measured, and two slow answers, as those of a start, would be held against it
-   for a minute, while its limit is not used. */
-static double slow_cost(const WPFleet *f, const WPReplica *s)
+/* The latency ratio is not used for an endpoint with a rate limit: with few
+   requests it is hardly measured, and two slow answers, as after a start,
+   would count against the endpoint for a minute while its limit stays
+   unused. */
+static double latency_cost(const WPFleet *f, const WPReplica *s)
 {
-    return wp_fleet_limit_of(s) > 0 ? 0 : f->rules.slow * (s->slowness - 1);
+    return wp_fleet_limit_of(s) > 0
+               ? 0
+               : f->rules.slow_weight * (s->latency_ratio - 1);
 }
 
-static double score(WPFleet *f, WPTime now, const WPWant *w, const WPReplica *s,
-                    uint32_t own, const WPKeepers *keepers, bool home)
+static double score(WPFleet *f, WPTime now, const WPEndpointQuery *q,
+                    const WPReplica *s, uint32_t cached,
+                    const WPCacheHolders *holders, bool affine)
 {
-    double v = wp_fleet_taken(s, now);
-    if (w->prompt)
-        v += engine_score(f, now, w, s, own, keepers, home);
-    else if (strcmp(s->zone, w->zone))
-        v += f->rules.zone;
-    v += (w->once ? FAILING_ONCE : FAILING) * wp_fleet_fail_rate(s, now);
-    v += slow_cost(f, s);
+    double v = wp_fleet_utilization(s, now);
+    if (q->prompt)
+        v += engine_score(f, now, q, s, cached, holders, affine);
+    else if (strcmp(s->zone, q->zone))
+        v += f->rules.zone_weight;
+    v += (q->non_repeatable ? NON_REPEATABLE_FAILURE_WEIGHT : FAILURE_WEIGHT) *
+         wp_fleet_fail_rate(s, now);
+    v += latency_cost(f, s);
     v += JITTER * g_rand_double(f->rand);
-    if (w->suspect >= SUSPECT_ALONE_FROM)
-        v += SUSPECT_ALONE * wp_fleet_taken(s, now);
+    if (q->endpoint_losses >= SUSPECT_FROM)
+        v += SUSPECT_WEIGHT * wp_fleet_utilization(s, now);
     if (s->avoid_until_us > now.mono_us)
-        v += AVOIDED;
-    if (s->said.cold_until_us > now.mono_us)
-        v += COLD;
-    if (s->said.rest_known_us > now.mono_us)
-        v += RESTING;
+        v += AVOIDED_PENALTY;
+    if (s->reported.cold_until_us > now.mono_us)
+        v += COLD_PENALTY;
+    if (s->reported.rest_known_us > now.mono_us)
+        v += REMOTE_BACKOFF_PENALTY;
     if (wp_fleet_limit_of(s) > 0)
-        v -= limit_bonus(s->said.limit, now);
-    if (wp_fleet_taken(s, now) + 1.0 / MAX(s->slots, 1) >= FULL_FROM &&
-        wp_fleet_fails_loaded(f, now, s->service, s->version))
-        v += LOADED;
+        v -= limit_bonus(s->reported.limit, now);
+    if (wp_fleet_utilization(s, now) + 1.0 / MAX(s->slots, 1) >= FULL_FROM &&
+        wp_fleet_fails_under_load(f, now, s->service, s->version))
+        v += LOADED_PENALTY;
     return v;
 }
 
-unsigned wp_fleet_count(WPFleet *f, const WPWant *w)
+unsigned wp_fleet_count_eligible(WPFleet *f, const WPEndpointQuery *q)
 {
-    GPtrArray *list = wp_fleet_of_service(f, w->service);
+    GPtrArray *list = wp_fleet_service_endpoints(f, q->service);
     unsigned n = 0;
     for (guint i = 0; i < list->len; i++)
-        n += may_take(w, g_ptr_array_index(list, i));
+        n += is_eligible(q, g_ptr_array_index(list, i));
     return n;
 }
 
-double wp_fleet_pressure(WPFleet *f, WPTime now, const WPWant *w)
+double wp_fleet_service_utilization(WPFleet *f, WPTime now,
+                                    const WPEndpointQuery *q)
 {
-    GPtrArray *list = wp_fleet_of_service(f, w->service);
-    double taken = 0, slots = 0;
+    GPtrArray *list = wp_fleet_service_endpoints(f, q->service);
+    double load = 0, slots = 0;
     for (guint i = 0; i < list->len; i++) {
         const WPReplica *s = g_ptr_array_index(list, i);
-        if (!may_take(w, s) || s->avoid_until_us > now.mono_us ||
-            wp_fleet_rests(s, now))
+        if (!is_eligible(q, s) || s->avoid_until_us > now.mono_us ||
+            wp_fleet_is_backing_off(s, now))
             continue;
-        taken += wp_fleet_load_of(s, now);
+        load += wp_fleet_load_of(s, now);
         slots += s->slots;
     }
-    return slots > 0 ? taken / slots : 1;
+    return slots > 0 ? load / slots : 1;
 }
 
-/* The replica that all boxes send requests with the same shared prompt to, so
-   that it is read once. */
-static const WPReplica *home_of(const WPWant *w, WPTime now, GPtrArray *list)
+/* The endpoint that all boxes send requests with the same shared prompt to, so
+   that the prompt is prefilled only once. */
+static const WPReplica *affinity_replica(const WPEndpointQuery *q, WPTime now,
+                                         GPtrArray *list)
 {
     const WPReplica *best = NULL;
     uint64_t best_score = 0;
-    uint64_t shared = w->prompt ? wp_prompt_shared(w->prompt) : 0;
+    uint64_t shared = q->prompt ? wp_prompt_shared_hash(q->prompt) : 0;
     if (!shared)
         return NULL;
     for (guint i = 0; i < list->len; i++) {
         const WPReplica *s = g_ptr_array_index(list, i);
-        uint64_t key[2] = { shared ^ w->model, s->id_hash };
-        if (!may_take(w, s) || wp_fleet_rests(s, now) ||
-            strcmp(s->zone, w->zone))
+        uint64_t key[2] = { shared ^ q->model, s->id_hash };
+        if (!is_eligible(q, s) || wp_fleet_is_backing_off(s, now) ||
+            strcmp(s->zone, q->zone))
             continue;
         uint64_t v = wp_hash(wp_strn((const char *)key, sizeof(key)), 0);
         if (!best || v > best_score) {
@@ -147,27 +167,31 @@
     return best;
 }
 
-/* Whether one of `n` is among the candidates of this choice. */
-static bool is_drawn(WPFleet *f, guint n)
+/* Whether one endpoint out of `n` is among the candidates sampled for this
+   choice. */
+static bool is_sampled(WPFleet *f, guint n)
 {
     return !f->rules.choices || n <= f->rules.choices ||
            g_rand_double(f->rand) * n < f->rules.choices;
 }
 
-static WPReplica *best_of(WPFleet *f, WPTime now, const WPWant *w,
+static WPReplica *best_of(WPFleet *f, WPTime now, const WPEndpointQuery *q,
                           GPtrArray *list)
 {
-    const WPReplica *home = home_of(w, now, list);
+    const WPReplica *affine = affinity_replica(q, now, list);
     WPReplica *best = NULL;
     double best_score = 0;
-    WPKeepers keepers = { .own = g_newa(uint32_t, list->len + 1) };
-    wp_keepers_find(&keepers, now, w, list);
+    WPCacheHolders holders = { .cached_tokens =
+                                   g_newa(uint32_t, list->len + 1) };
+    wp_cache_holders_find(&holders, now, q, list);
     for (guint i = 0; i < list->len; i++) {
         WPReplica *s = g_ptr_array_index(list, i);
-        if (!wp_fleet_suits(w, s) || (s != home && !is_drawn(f, list->len)) ||
-            wp_fleet_bar(f, now, w, s))
+        if (!wp_fleet_matches(q, s) ||
+            (s != affine && !is_sampled(f, list->len)) ||
+            wp_fleet_exclusion(f, now, q, s))
             continue;
-        double v = score(f, now, w, s, keepers.own[i], &keepers, s == home);
+        double v = score(f, now, q, s, holders.cached_tokens[i], &holders,
+                         s == affine);
         if (!best || v < best_score) {
             best = s;
             best_score = v;
@@ -176,32 +200,36 @@
     return best;
 }
 
-WPReplica *wp_fleet_choose(WPFleet *f, WPTime now, const WPWant *w)
+WPReplica *wp_fleet_choose(WPFleet *f, WPTime now, const WPEndpointQuery *q)
 {
-    GPtrArray *list = wp_fleet_of_service(f, w->service);
+    GPtrArray *list = wp_fleet_service_endpoints(f, q->service);
     uint32_t choices = f->rules.choices;
-    wp_fleet_survey(now, list);
-    WPReplica *best = best_of(f, now, w, list);
-    if (!best && choices) { /* none was drawn that may take it */
+    wp_fleet_refresh_cohorts(now, list);
+    WPReplica *best = best_of(f, now, q, list);
+    if (!best && choices) { /* no sampled endpoint may take it */
         f->rules.choices = 0;
-        best = best_of(f, now, w, list);
+        best = best_of(f, now, q, list);
         f->rules.choices = choices;
     }
-    return best ? wp_fleet_hold(best) : NULL;
+    return best ? wp_replica_ref(best) : NULL;
 }
 
-WPWork wp_fleet_work(WPFleet *f, WPTime now, const WPWant *w,
-                     const WPReplica *s, const WPReplica **source)
+WPTtfbInputs wp_fleet_ttfb_inputs(WPFleet *f, WPTime now,
+                                  const WPEndpointQuery *q, const WPReplica *s,
+                                  const WPReplica **source)
 {
-    GPtrArray *list = wp_fleet_of_service(f, w->service);
-    WPKeepers keepers = { .own = g_newa(uint32_t, list->len + 1) };
+    GPtrArray *list = wp_fleet_service_endpoints(f, q->service);
+    WPCacheHolders holders = { .cached_tokens =
+                                   g_newa(uint32_t, list->len + 1) };
     *source = NULL;
-    if (!w->prompt)
-        return (WPWork){ .load = wp_fleet_load_of(s, now),
-                         .pace = s->said.pace };
-    wp_keepers_find(&keepers, now, w, list);
-    uint32_t own = wp_kept_tokens(s->kept, now, w->model, w->prompt);
-    const WPBid b = wp_bid(&f->rules, now, w, s, own, &keepers);
+    if (!q->prompt)
+        return (WPTtfbInputs){ .load = wp_fleet_load_of(s, now),
+                               .slowdown = s->reported.pace };
+    wp_cache_holders_find(&holders, now, q, list);
+    uint32_t cached =
+        wp_prefix_cache_match(s->prefix_cache, now, q->model, q->prompt);
+    const WPEngineCost b =
+        wp_engine_cost(&f->rules, now, q, s, cached, &holders);
     *source = b.source;
-    return b.work;
+    return b.inputs;
 }
