--- a/src/wp_flow.c
+++ b/src/wp_flow.c
@@ -32,23 +32,23 @@
 {
     WPDirect *d = f->d;
     if (why == WP_WHY_FIRST)
-        wp_earned_request(&d->earned, &d->rules.cascade, f->prompt.tokens,
-                          f->answer_tokens);
-    wp_earned_read(&d->earned, f->leg.reading_us / WP_US_PER_S);
+        wp_value_rate_add_request(&d->earned, &d->rules.cascade,
+                                  f->prompt.tokens, f->answer_tokens);
+    wp_value_rate_add_prefill(&d->earned, f->leg.reading_us / WP_US_PER_S);
 }
 
 /* Notes what the leg's endpoint has to do, and hands the request to it. Returns
    the address to take the prompt's beginning from, or NULL. */
 static const char *foretell(WPFlow *f, WPTime now, WPReplica *s, WPWhy why)
 {
-    const WPWant w = wp_flow_want(f);
+    const WPEndpointQuery w = wp_flow_want(f);
     const WPReplica *source;
-    f->leg.work = wp_fleet_work(f->d->fleet, now, &w, s, &source);
-    f->leg.expect_us = wp_speed_expect(w.speed, &f->leg.work);
-    f->leg.reading_us = wp_speed_reading(w.speed, &f->leg.work);
+    f->leg.work = wp_fleet_ttfb_inputs(f->d->fleet, now, &w, s, &source);
+    f->leg.expect_us = wp_ttfb_predict(w.ttfb, &f->leg.work);
+    f->leg.reading_us = wp_ttfb_predict_prefill(w.ttfb, &f->leg.work);
     if (w.prompt && f->leg.expect_us > 0)
         note_earned(f, why);
-    wp_fleet_sent(f->d->fleet, s, now, &w, f->leg.reading_us);
+    wp_fleet_request_sent(f->d->fleet, s, now, &w, f->leg.reading_us);
     return source ? source->addr : NULL;
 }
 
@@ -57,8 +57,8 @@
 {
     WPShift *sh = wp_flow_shift(f);
     bool old = sh && strcmp(s->version, sh->version);
-    double taken = wp_fleet_taken(s, now);
-    bool cold = s->said.cold_until_us > now.mono_us;
+    double taken = wp_fleet_utilization(s, now);
+    bool cold = s->reported.cold_until_us > now.mono_us;
     f->leg = (WPAttempt){ .replica = s,
                           .sent_us = now.mono_us,
                           .crowded = wp_flow_is_crowded(f, taken) || cold,
@@ -82,26 +82,27 @@
                      .patience_ms = wp_flow_patience(f) };
 }
 
-static void end_leg(WPFlow *f, WPTime now, const WPAttempt *leg, WPServed how)
+static void end_leg(WPFlow *f, WPTime now, const WPAttempt *leg,
+                    WPAttemptOutcome how)
 {
     WPShift *sh = wp_flow_shift(f);
     wp_flow_learn_load(f, now, leg, how);
     if (leg->old_version && sh && sh->old_running)
         sh->old_running--;
     wp_suspects_left(f->d->suspects, f->hash);
-    wp_fleet_ended(leg->replica, now, how);
-    wp_fleet_release(leg->replica);
+    wp_fleet_request_ended(leg->replica, now, how);
+    wp_replica_unref(leg->replica);
 }
 
 /* Ends the leg under way; its endpoint is not asked again for this request
    while there are others. */
-static void end_this(WPFlow *f, WPTime now, WPServed how)
+static void end_this(WPFlow *f, WPTime now, WPAttemptOutcome how)
 {
     WPAttempt leg = f->leg;
     if (!leg.replica)
         return;
     if (f->n_tried < WP_FLOW_TRIED_MOST)
-        f->tried[f->n_tried++] = wp_fleet_hold(leg.replica);
+        f->tried[f->n_tried++] = wp_replica_ref(leg.replica);
     f->leg = (WPAttempt){ 0 };
     end_leg(f, now, &leg, how);
 }
@@ -122,7 +123,7 @@
         why == WP_WHY_BETTER ? WP_REPEAT_BETTER : WP_REPEAT_FAILURE;
     if (!wp_budget_take(wp_direct_budget(d, f->service->name),
                         &d->rules.retries, now, d->boxes, needed)) {
-        wp_fleet_release(s);
+        wp_replica_unref(s);
         f->spent = true;
         return false;
     }
@@ -184,14 +185,15 @@
 
 /* Callers are spread a little behind the end of the first rest, so that they do
    not all come back in one instant. */
-static uint32_t rested_ms(const WPFlow *f, WPTime now, const WPBarred *rest)
+static uint32_t rested_ms(const WPFlow *f, WPTime now,
+                          const WPExcludedEndpoints *rest)
 {
     double spread_ms = g_rand_double(f->d->rand) * RESTED_SPREAD_MS;
-    return ms_until(now, rest->free_us) + (uint32_t)spread_ms;
+    return ms_until(now, rest->next_send_us) + (uint32_t)spread_ms;
 }
 
-static WPMove barred(WPCode code, uint32_t retry_ms, const WPBarred *by,
-                     WPBar bar)
+static WPMove barred(WPCode code, uint32_t retry_ms,
+                     const WPExcludedEndpoints *by, WPExclusion bar)
 {
     WPMove m = move_fail(code, retry_ms);
     m.barred = by->endpoint;
@@ -203,23 +205,29 @@
    Returns false when none of these keeps the request from any. */
 static bool barred_for_a_while(WPFlow *f, WPTime now, WPMove *out)
 {
-    const WPWant w = wp_flow_want(f);
-    WPWant any = w; /* what it has tried may have asked for rest just now */
+    const WPEndpointQuery w = wp_flow_want(f);
+    WPEndpointQuery any =
+        w; /* what it has tried may have asked for rest just now */
     any.n_tried = 0;
     WPFleet *fleet = f->d->fleet;
-    WPBarred limit, cold, rest;
-    bool limited = wp_fleet_barred(fleet, now, &w, WP_BAR_LIMIT, &limit);
-    bool spared = wp_fleet_barred(fleet, now, &w, WP_BAR_COLD, &cold);
-    bool rests = wp_fleet_barred(fleet, now, &any, WP_BAR_REST, &rest);
-    if (rests && rest.free_us <= MIN(limit.free_us, cold.free_us))
-        *out = barred(WP_RESTING, rested_ms(f, now, &rest), &rest, WP_BAR_REST);
+    WPExcludedEndpoints limit, cold, rest;
+    bool limited =
+        wp_fleet_find_excluded(fleet, now, &w, WP_EXCLUDED_LIMIT, &limit);
+    bool spared =
+        wp_fleet_find_excluded(fleet, now, &w, WP_EXCLUDED_COLD, &cold);
+    bool rests =
+        wp_fleet_find_excluded(fleet, now, &any, WP_EXCLUDED_BACKOFF, &rest);
+    if (rests &&
+        rest.next_send_us <= MIN(limit.next_send_us, cold.next_send_us))
+        *out = barred(WP_RESTING, rested_ms(f, now, &rest), &rest,
+                      WP_EXCLUDED_BACKOFF);
     else if (limited)
         *out =
             barred(WP_LIMITED, wp_fleet_limit_refused(fleet, now, &w, &limit),
-                   &limit, WP_BAR_LIMIT);
+                   &limit, WP_EXCLUDED_LIMIT);
     else if (spared)
-        *out = barred(WP_STARTING, ms_until(now, cold.free_us), &cold,
-                      WP_BAR_COLD);
+        *out = barred(WP_STARTING, ms_until(now, cold.next_send_us), &cold,
+                      WP_EXCLUDED_COLD);
     return rests || limited || spared;
 }
 
@@ -229,10 +237,11 @@
     WPMove m;
     if (!f->spent && barred_for_a_while(f, now, &m))
         return m;
-    const WPWant w = wp_flow_want(f);
-    if (wp_fleet_is_elsewhere(f->d->fleet, &w))
+    const WPEndpointQuery w = wp_flow_want(f);
+    if (wp_fleet_all_outside_areas(f->d->fleet, &w))
         return move_fail(WP_NO_AREA, NO_AREA_MS);
-    bool kept_out = wp_fleet_is_kept_out(f->d->fleet, f->service->name);
+    bool kept_out =
+        wp_fleet_has_evacuated_endpoints(f->d->fleet, f->service->name);
     return move_fail(WP_NO_ENDPOINT, kept_out ? KEPT_OUT_MS : NO_ENDPOINT_MS);
 }
 
@@ -252,7 +261,7 @@
         *out = move_fail(WP_KEPT_OUT, KEPT_OUT_REQUEST_MS);
         break;
     }
-    wp_fleet_release(s);
+    wp_replica_unref(s);
 }
 
 static uint32_t when_to_come_back(const WPDirect *d, WPCode code)
@@ -268,7 +277,7 @@
     WPDirect *d = f->d;
     wp_budget_request(wp_direct_budget(d, f->service->name), &d->rules.retries,
                       now);
-    wp_fleet_asked(d->fleet, now, f->service->name);
+    wp_fleet_count_request(d->fleet, now, f->service->name);
     f->draw = g_rand_double(d->rand);
     if (wp_flow_skips_ahead(f, now))
         f->step = f->route->models->len - 1;
@@ -348,7 +357,8 @@
 
 /* The endpoint did not run it. The request has not run at all only if no
    earlier leg may have. */
-static void after_refusal(WPFlow *f, WPTime now, WPServed how, WPMove *out)
+static void after_refusal(WPFlow *f, WPTime now, WPAttemptOutcome how,
+                          WPMove *out)
 {
     f->refused++;
     end_this(f, now, how);
@@ -375,7 +385,7 @@
     f->step = f->route->models->len - 1;
     f->ran++;
     if (again(f, now, WP_WHY_BETTER, out)) {
-        end_leg(f, now, &had, WP_SERVED_OK);
+        end_leg(f, now, &had, WP_OUTCOME_OK);
         return;
     }
     f->ran--;
@@ -383,11 +393,11 @@
     pass(f, out);
 }
 
-static WPServed refused_how(const WPDirectAnswer *a)
+static WPAttemptOutcome refused_how(const WPDirectAnswer *a)
 {
     if (a->wrong)
-        return WP_SERVED_WRONG;
-    return wp_flow_asks_for_rest(a) ? WP_SERVED_RESTS : WP_SERVED_REFUSED;
+        return WP_OUTCOME_WRONG_ENDPOINT;
+    return wp_flow_asks_for_rest(a) ? WP_OUTCOME_BACKOFF : WP_OUTCOME_REFUSED;
 }
 
 void wp_flow_answer(WPFlow *f, WPTime now, const WPDirectAnswer *a, WPMove *out)
@@ -410,7 +420,7 @@
                                    (double)(now.mono_us - f->leg.sent_us)));
     if (failed) {
         f->ran++;
-        end_this(f, now, WP_SERVED_FAILED);
+        end_this(f, now, WP_OUTCOME_FAILED);
         if (wp_flow_may_repeat(f) && again(f, now, WP_WHY_RETRY, out))
             return;
         /* A 503 without the mark of a refusal would promise too much. */
@@ -431,11 +441,11 @@
 void wp_flow_lost(WPFlow *f, WPTime now, WPLoss how, WPMove *out)
 {
     if (how == WP_LOSS_UNSENT) {
-        after_refusal(f, now, WP_SERVED_SILENT, out);
+        after_refusal(f, now, WP_OUTCOME_NO_RESPONSE, out);
         return;
     }
     f->ran++;
-    WPServed served = wp_flow_ended_how(f, how);
+    WPAttemptOutcome served = wp_flow_ended_how(f, how);
     wp_flow_note_ended(f, now);
     end_this(f, now, served);
     WPWhy why = f->passing ? WP_WHY_RESUME : WP_WHY_RETRY;
@@ -454,14 +464,14 @@
         return false;
     wp_flow_judge_overdue(f, now);
     f->hurried = true;
-    f->tried[f->n_tried++] = wp_fleet_hold(had.replica);
+    f->tried[f->n_tried++] = wp_replica_ref(had.replica);
     f->ran++;
     if (again(f, now, WP_WHY_RETRY, out)) {
-        end_leg(f, now, &had, WP_SERVED_SILENT);
+        end_leg(f, now, &had, WP_OUTCOME_NO_RESPONSE);
         return true;
     }
     f->ran--;
-    wp_fleet_release(f->tried[--f->n_tried]);
+    wp_replica_unref(f->tried[--f->n_tried]);
     return false;
 }
 
@@ -469,7 +479,8 @@
 {
     bool sent = f->leg.replica || f->ran;
     wp_flow_judge_overdue(f, now);
-    end_this(f, now, f->leg.heard ? WP_SERVED_LEFT : WP_SERVED_SILENT);
+    end_this(f, now,
+             f->leg.heard ? WP_OUTCOME_ABANDONED : WP_OUTCOME_NO_RESPONSE);
     if (sent)
         give_up(f, WP_TIMED_OUT, 0, out);
     else
@@ -488,7 +499,7 @@
     wp_flow_judge_pace(f, now, events);
     wp_flow_learn_pause(f);
     note_session(f, now);
-    end_this(f, now, WP_SERVED_OK);
+    end_this(f, now, WP_OUTCOME_OK);
     if (wp_suspects_whole(f->d->suspects, now, f->hash))
         wp_count(&f->d->counters, WP_C_SUSPECTS_CLEARED);
     wp_count(&f->d->counters, WP_C_ANSWERED);
@@ -500,7 +511,7 @@
 void wp_flow_left(WPFlow *f, WPTime now)
 {
     note_session(f, now);
-    end_this(f, now, WP_SERVED_LEFT);
+    end_this(f, now, WP_OUTCOME_ABANDONED);
     wp_count(&f->d->counters, WP_C_CALLERS_GONE);
 }
 
@@ -509,7 +520,7 @@
     if (!f)
         return;
     for (size_t i = 0; i < f->n_tried; i++)
-        wp_fleet_release(f->tried[i]);
+        wp_replica_unref(f->tried[i]);
     wp_routes_unref(f->routes);
     g_free(f->id);
     g_free(f->model);
--- a/src/wp_flow_head.c
+++ b/src/wp_flow_head.c
@@ -13,9 +13,9 @@
                        WPHeard *out)
 {
     WPReplica *s = f->leg.replica;
-    const WPLimitSeen seen = { a->limit, a->genuine, f->leg.sent_us };
+    const WPLimitReport seen = { a->limit, a->genuine, f->leg.sent_us };
     out->limit_was = wp_fleet_limit_of(s);
-    out->limit = wp_fleet_told_limit(f->d->fleet, s, now, &seen);
+    out->limit = wp_fleet_record_limit(f->d->fleet, s, now, &seen);
 }
 
 static const char *bad_field(const WPDirectAnswer *a)
@@ -47,17 +47,17 @@
     if (a->wrong) /* another endpoint's word */
         return;
     if (a->has_load)
-        wp_fleet_told_load(fleet, s, now, a->running, a->waiting, a->slots);
+        wp_fleet_record_load(fleet, s, now, a->running, a->waiting, a->slots);
     if (a->pace)
-        wp_fleet_told_pace(s, a->pace);
-    wp_suspects_alive(f->d->suspects, now, s->life_hash, f->leg.sent_us);
+        wp_fleet_record_slowdown(s, a->pace);
+    wp_suspects_alive(f->d->suspects, now, s->incarnation_hash, f->leg.sent_us);
     note_usage(f, now, a);
     hear_limit(f, now, a, out);
     if (a->leaving.said == WP_NOTICE_GIVEN)
-        out->leaves = wp_fleet_told_leaving(fleet, s, now);
+        out->leaves = wp_fleet_record_draining(fleet, s, now);
     if (wp_flow_asks_for_rest(a))
-        out->rests = wp_fleet_told_rest(fleet, s, now, a->rest.rest_s);
+        out->rests = wp_fleet_record_backoff(fleet, s, now, a->rest.rest_s);
     out->bad = bad_field(a);
-    if (out->bad && !wp_fleet_told_bad(s, now))
+    if (out->bad && !wp_fleet_should_report_bad_field(s, now))
         out->bad = NULL;
 }
--- a/src/wp_flow_int.h
+++ b/src/wp_flow_int.h
@@ -18,7 +18,7 @@
 
 /* How the leg ended that has lost its connection; and the note that its
    endpoint may have ended under the request. */
-WPServed wp_flow_ended_how(const WPFlow *f, WPLoss how);
+WPAttemptOutcome wp_flow_ended_how(const WPFlow *f, WPLoss how);
 void wp_flow_note_ended(WPFlow *f, WPTime now);
 
 /* The model to name to the endpoint. */
@@ -31,7 +31,7 @@
 
 /* What is known of how long the first byte takes with a model, and how long it
    takes for this request; 0: not known. */
-WPSpeed *wp_flow_speed(WPFlow *f, WPStr model);
+WPTtfbModel *wp_flow_speed(WPFlow *f, WPStr model);
 double wp_flow_expect_us(WPFlow *f, WPTime now, WPStr model,
                          double *reading_us);
 
@@ -40,7 +40,7 @@
 uint32_t wp_flow_patience(WPFlow *f);
 
 /* What the request wants of an endpoint with its present model. */
-WPWant wp_flow_want(WPFlow *f);
+WPEndpointQuery wp_flow_want(WPFlow *f);
 
 /* wp_flow_learn.c: what legs tell. Share of places taken from which on a
    version may be bad under load: */
@@ -51,7 +51,7 @@
 
 /* How a leg ended, for versions that fail on loaded endpoints. */
 void wp_flow_learn_load(WPFlow *f, WPTime now, const WPAttempt *leg,
-                        WPServed how);
+                        WPAttemptOutcome how);
 
 /* The first byte of the leg has come. */
 void wp_flow_note_first(WPFlow *f, WPTime now);
--- a/src/wp_flow_learn.c
+++ b/src/wp_flow_learn.c
@@ -43,21 +43,21 @@
 
 /* While a version is on trial its failures are for the verdict. */
 void wp_flow_learn_load(WPFlow *f, WPTime now, const WPAttempt *leg,
-                        WPServed how)
+                        WPAttemptOutcome how)
 {
     const WPShift *sh = wp_flow_shift(f);
     const char *version = leg->replica->version;
     bool on_trial =
         sh && sh->state == WP_SHIFT_RUNNING && !strcmp(version, sh->version);
-    bool failed = how == WP_SERVED_FAILED || how == WP_SERVED_BROKEN;
-    if (on_trial || (how != WP_SERVED_OK && !failed))
+    bool failed = how == WP_OUTCOME_FAILED || how == WP_OUTCOME_STREAM_BROKEN;
+    if (on_trial || (how != WP_OUTCOME_OK && !failed))
         return;
     WPFleet *fleet = f->d->fleet;
     bool known =
-        wp_fleet_fails_loaded(fleet, now, leg->replica->service, version);
-    wp_fleet_learn(fleet, now, leg->replica, leg->taken, failed);
+        wp_fleet_fails_under_load(fleet, now, leg->replica->service, version);
+    wp_fleet_record_answer(fleet, now, leg->replica, leg->taken, failed);
     if (known ||
-        !wp_fleet_fails_loaded(fleet, now, leg->replica->service, version))
+        !wp_fleet_fails_under_load(fleet, now, leg->replica->service, version))
         return;
     wp_count(&f->d->counters, WP_C_FAILS_LOADED);
     g_free(f->fails_loaded);
@@ -85,7 +85,7 @@
 /* The first byte of the leg has come: what it tells of the endpoint. */
 void wp_flow_note_first(WPFlow *f, WPTime now)
 {
-    WPSpeed *v = wp_flow_speed(f, wp_flow_model(f));
+    WPTtfbModel *v = wp_flow_speed(f, wp_flow_model(f));
     int64_t took = now.mono_us - f->leg.sent_us;
     if (f->leg.heard)
         return;
@@ -93,10 +93,10 @@
     f->leg.first_us = now.mono_us;
     if (f->route->aim_ms)
         note_lag(f, took);
-    wp_fleet_began(f->d->fleet, f->leg.replica, f->leg.reading_us, took,
-                   (int64_t)f->leg.expect_us);
+    wp_fleet_first_byte(f->d->fleet, f->leg.replica, f->leg.reading_us, took,
+                        (int64_t)f->leg.expect_us);
     if (!is_on_trial(f) || !f->leg.expect_us)
-        wp_speed_add(v, &f->leg.work, took);
+        wp_ttfb_add(v, &f->leg.work, took);
 }
 
 /* What the leg tells of the version that it was on; once a leg. */
@@ -123,12 +123,12 @@
    crowded endpoint's tell nothing. `what`: with whose times it is compared. */
 WPShiftTime wp_flow_judge_time(WPFlow *f, const char *what, double us)
 {
-    WPUsual *u = wp_direct_usual(f->d, what, wp_flow_model(f));
-    double lower = wp_usual_lower(u), upper = wp_usual_upper(u);
+    WPQuartiles *u = wp_direct_usual(f->d, what, wp_flow_model(f));
+    double lower = wp_quartiles_lower(u), upper = wp_quartiles_upper(u);
     if (f->leg.crowded)
         return WP_TIME_UNKNOWN;
     if (!is_on_trial(f))
-        wp_usual_add(u, us);
+        wp_quartiles_add(u, us);
     if (upper <= 0)
         return WP_TIME_UNKNOWN;
     if (is_plain(f) || upper < NARROW_TIMES * lower)
@@ -168,7 +168,7 @@
 void wp_flow_progress(WPFlow *f, WPTime now, uint64_t events)
 {
     note_gap(f, now, events);
-    wp_suspects_alive(f->d->suspects, now, f->leg.replica->life_hash,
+    wp_suspects_alive(f->d->suspects, now, f->leg.replica->incarnation_hash,
                       f->leg.sent_us);
     if (events >= PACE_EVENTS && !f->leg.judged)
         wp_flow_judge_pace(f, now, events);
@@ -190,8 +190,8 @@
     if (!f->leg.replica || f->leg.judged || !is_plain(f))
         return;
     double us = (double)(now.mono_us - f->leg.sent_us);
-    double upper =
-        wp_usual_upper(wp_direct_usual(f->d, f->route->name, wp_flow_model(f)));
+    double upper = wp_quartiles_upper(
+        wp_direct_usual(f->d, f->route->name, wp_flow_model(f)));
     if (upper > 0 && us > FAR_TIMES * upper && !f->leg.crowded)
         wp_flow_judge(f, false, WP_TIME_FAR);
 }
--- a/src/wp_flow_pick.c
+++ b/src/wp_flow_pick.c
@@ -42,54 +42,56 @@
 }
 
 /* What the request wants of an endpoint with this model. */
-static WPWant want_of(WPFlow *f, WPStr model)
+static WPEndpointQuery want_of(WPFlow *f, WPStr model)
 {
     bool engine = f->route->repeat == WP_REPEAT_STREAM;
-    return (
-        WPWant){ .service = f->service->name,
-                 .allowed = version_allowed,
-                 .allowed_arg = f,
-                 .zone = f->d->rules.zone,
-                 .prompt = engine ? &f->prompt : NULL,
-                 .model = engine ? wp_hash(model, 0) : 0,
-                 .speed = wp_flow_speed(f, model),
-                 .second = f->d->rules.second * wp_earned_rate(&f->d->earned),
-                 .pauses = engine ? &f->d->pauses : NULL,
-                 .pause_us = (double)f->route->gap_ms * WP_US_PER_MS,
-                 .pause_weight = f->d->rules.fleet.pause * f->d->rules.second *
-                                 wp_cascade_late_loss(&f->d->earned),
-                 .memory_tokens = f->service->memory_tokens,
-                 .body_bytes = f->body_bytes,
-                 .tried = f->tried,
-                 .n_tried = f->n_tried,
-                 .once = !wp_flow_may_repeat(f),
-                 .suspect = wp_suspects_count(f->d->suspects, f->hash),
-                 .priority = f->priority,
-                 .draw = f->draw,
-                 .areas = f->route->areas,
-                 .caller_areas = f->areas };
+    return (WPEndpointQuery){
+        .service = f->service->name,
+        .allowed = version_allowed,
+        .allowed_arg = f,
+        .zone = f->d->rules.zone,
+        .prompt = engine ? &f->prompt : NULL,
+        .model = engine ? wp_hash(model, 0) : 0,
+        .ttfb = wp_flow_speed(f, model),
+        .ttfb_weight = f->d->rules.second * wp_value_rate_per_s(&f->d->earned),
+        .stalls = engine ? &f->d->pauses : NULL,
+        .max_stall_us = (double)f->route->gap_ms * WP_US_PER_MS,
+        .stall_weight = f->d->rules.fleet.stall_weight * f->d->rules.second *
+                        wp_cascade_late_loss(&f->d->earned),
+        .memory_tokens = f->service->memory_tokens,
+        .body_bytes = f->body_bytes,
+        .tried = f->tried,
+        .n_tried = f->n_tried,
+        .non_repeatable = !wp_flow_may_repeat(f),
+        .endpoint_losses = wp_suspects_count(f->d->suspects, f->hash),
+        .priority = f->priority,
+        .random = f->draw,
+        .areas = f->route->areas,
+        .caller_areas = f->areas
+    };
 }
 
-WPWant wp_flow_want(WPFlow *f)
+WPEndpointQuery wp_flow_want(WPFlow *f)
 {
     return want_of(f, wp_flow_model(f));
 }
 
 /* Whether a bar of this kind, which passes by itself, alone keeps the request
    from some. */
-static bool is_barred(const WPFlow *f, WPTime now, const WPWant *w, WPBar bar)
+static bool is_barred(const WPFlow *f, WPTime now, const WPEndpointQuery *w,
+                      WPExclusion bar)
 {
-    WPBarred barred;
-    return wp_fleet_barred(f->d->fleet, now, w, bar, &barred);
+    WPExcludedEndpoints barred;
+    return wp_fleet_find_excluded(f->d->fleet, now, w, bar, &barred);
 }
 
 /* The same of rests, also of the endpoints that this request has tried: they
    are what it was told to wait for. */
-static bool is_resting(const WPFlow *f, WPTime now, const WPWant *w)
+static bool is_resting(const WPFlow *f, WPTime now, const WPEndpointQuery *w)
 {
-    WPWant any = *w;
+    WPEndpointQuery any = *w;
     any.n_tried = 0;
-    return is_barred(f, now, &any, WP_BAR_REST);
+    return is_barred(f, now, &any, WP_EXCLUDED_BACKOFF);
 }
 
 /* While a service moves between versions: an endpoint of the side that this
@@ -97,8 +99,8 @@
    to the other one either, as its own has endpoints that rest or whose limits
    are met: a new version would get more than the move's share, or a session
    would change. */
-static WPReplica *choose_side(WPFlow *f, WPTime now, WPShift *sh, WPWant w,
-                              bool *stays)
+static WPReplica *choose_side(WPFlow *f, WPTime now, WPShift *sh,
+                              WPEndpointQuery w, bool *stays)
 {
     WPDirect *d = f->d;
     const char *last =
@@ -111,8 +113,9 @@
         w.allowed = other_allowed;
     WPReplica *s = wp_fleet_choose(d->fleet, now, &w);
     bool bound = !new_side || last;
-    *stays = !s && bound && !f->passing &&
-             (is_barred(f, now, &w, WP_BAR_LIMIT) || is_resting(f, now, &w));
+    *stays =
+        !s && bound && !f->passing &&
+        (is_barred(f, now, &w, WP_EXCLUDED_LIMIT) || is_resting(f, now, &w));
     return s;
 }
 
@@ -120,7 +123,7 @@
 {
     WPDirect *d = f->d;
     WPShift *sh = wp_flow_shift(f);
-    WPWant w = wp_flow_want(f);
+    WPEndpointQuery w = wp_flow_want(f);
     WPReplica *s = NULL;
     bool stays = false;
     if (sh && sh->state == WP_SHIFT_RUNNING)
@@ -129,9 +132,9 @@
         return NULL;
     if (!s) /* the other side rather than none */
         s = wp_fleet_choose(d->fleet, now, &w);
-    bool waits =
-        !s && (is_barred(f, now, &w, WP_BAR_COLD) ||
-               is_barred(f, now, &w, WP_BAR_LIMIT) || is_resting(f, now, &w));
+    bool waits = !s && (is_barred(f, now, &w, WP_EXCLUDED_COLD) ||
+                        is_barred(f, now, &w, WP_EXCLUDED_LIMIT) ||
+                        is_resting(f, now, &w));
     if (!s && !sh && !waits) {
         /* A version that no order has named rather than none. */
         w.allowed = NULL;
@@ -172,7 +175,7 @@
     return wp_str(g_ptr_array_index(f->route->models, step));
 }
 
-WPSpeed *wp_flow_speed(WPFlow *f, WPStr model)
+WPTtfbModel *wp_flow_speed(WPFlow *f, WPStr model)
 {
     /* Of a stream, the first byte hangs on the model and the prompt, whatever
        the route. */
@@ -185,21 +188,21 @@
    proportion to the prices. Guards against prompts of 40,000 tokens and more
    that are asked of the largest one right after a start and hold an engine up
    for nine seconds. */
-static double expect_by_price(WPFlow *f, WPStr model, const WPWork *work,
+static double expect_by_price(WPFlow *f, WPStr model, const WPTtfbInputs *work,
                               double *reading_us)
 {
     const GPtrArray *models = f->route->models;
     if (!models->len)
         return 0;
     const char *smallest = g_ptr_array_index(models, 0);
-    WPSpeed *s = wp_flow_speed(f, wp_str(smallest));
+    WPTtfbModel *s = wp_flow_speed(f, wp_str(smallest));
     double least = wp_service_cost(f->service, smallest);
-    double us = wp_speed_expect(s, work);
+    double us = wp_ttfb_predict(s, work);
     if (us <= 0 || least <= 0)
         return 0;
     g_autofree char *name = g_strndup(model.p, model.n);
     double times = wp_service_cost(f->service, name) / least;
-    double own_us = wp_speed_reading(s, work);
+    double own_us = wp_ttfb_predict_prefill(s, work);
     *reading_us = own_us * times;
     return us - own_us + *reading_us;
 }
@@ -207,15 +210,16 @@
 double wp_flow_expect_us(WPFlow *f, WPTime now, WPStr model, double *reading_us)
 {
     *reading_us = 0;
-    const WPWant w = want_of(f, model);
+    const WPEndpointQuery w = want_of(f, model);
     WPReplica *s = w.prompt ? wp_fleet_choose(f->d->fleet, now, &w) : NULL;
     if (!s)
         return 0;
     const WPReplica *source;
-    const WPWork work = wp_fleet_work(f->d->fleet, now, &w, s, &source);
-    wp_fleet_release(s);
-    double us = wp_speed_expect(w.speed, &work);
-    *reading_us = wp_speed_reading(w.speed, &work);
+    const WPTtfbInputs work =
+        wp_fleet_ttfb_inputs(f->d->fleet, now, &w, s, &source);
+    wp_replica_unref(s);
+    double us = wp_ttfb_predict(w.ttfb, &work);
+    *reading_us = wp_ttfb_predict_prefill(w.ttfb, &work);
     return us > 0 ? us : expect_by_price(f, model, &work, reading_us);
 }
 
@@ -239,8 +243,8 @@
 
 bool wp_flow_fits(WPFlow *f, uint32_t left_ms)
 {
-    double upper =
-        wp_usual_upper(wp_direct_usual(f->d, f->route->name, wp_flow_model(f)));
+    double upper = wp_quartiles_upper(
+        wp_direct_usual(f->d, f->route->name, wp_flow_model(f)));
     bool plain = f->route->repeat != WP_REPEAT_STREAM;
     return plain && upper > 0 &&
            PLAIN_TIMES * upper < (double)left_ms * WP_US_PER_MS;
@@ -254,15 +258,15 @@
     *reading_us = 0;
     if (aim_us > 0 && left_us <= 0)
         return 0;
-    return wp_cascade_in_time(wp_flow_expect_us(f, now, model, reading_us),
-                              left_us);
+    return wp_cascade_on_time_chance(
+        wp_flow_expect_us(f, now, model, reading_us), left_us);
 }
 
 static double reading_price(const WPFlow *f, double us)
 {
     const WPDirect *d = f->d;
     return us / WP_US_PER_S *
-           wp_cascade_second(&d->rules.cascade, &d->earned, d->lag);
+           wp_cascade_prefill_price(&d->rules.cascade, &d->earned, d->lag);
 }
 
 bool wp_flow_wants_better(WPFlow *f, WPTime now, const WPDirectAnswer *a)
@@ -273,24 +277,28 @@
         return false;
     /* Better a poor answer than a failure on endpoints that fail when full: the
        largest model is what fills them. */
-    const WPWant w = wp_flow_want(f);
-    if (wp_fleet_spares(f->d->fleet, now, &w, f->leg.replica->version))
+    const WPEndpointQuery w = wp_flow_want(f);
+    if (wp_fleet_should_reduce_load(f->d->fleet, now, &w,
+                                    f->leg.replica->version))
         return false;
     /* With this leg and the larger model's, one attempt should be left. */
     if (f->ran > 0 && f->ran + 3 > f->route->max_attempts)
         return false;
-    wp_quality_note(wp_direct_quality(f->d, f->route->name),
-                    wp_cascade_good(&f->d->rules.cascade, a->confidence));
+    wp_good_share_add(
+        wp_direct_quality(f->d, f->route->name),
+        wp_cascade_good_chance(&f->d->rules.cascade, a->confidence));
     const char *largest = g_ptr_array_index(models, models->len - 1);
     double reading_us;
     double chance = in_time(f, now, wp_str(largest), &reading_us);
-    const WPCascadeCase c = { .confidence = a->confidence,
-                              .prompt_tokens = f->prompt.tokens,
-                              .answer_tokens = f->answer_tokens,
-                              .cost = wp_service_cost(f->service, largest),
-                              .read = reading_price(f, reading_us),
-                              .in_time = chance };
-    if (wp_cascade_gain(&f->d->rules.cascade, &c) <= 0)
+    const WPCascadeEscalation c = { .confidence = a->confidence,
+                                    .prompt_tokens = f->prompt.tokens,
+                                    .answer_tokens = f->answer_tokens,
+                                    .model_cost =
+                                        wp_service_cost(f->service, largest),
+                                    .prefill_price =
+                                        reading_price(f, reading_us),
+                                    .on_time_chance = chance };
+    if (wp_cascade_escalation_gain(&f->d->rules.cascade, &c) <= 0)
         return false;
     double took = (double)(now.mono_us - f->leg.sent_us);
     return wp_flow_left_ms(f, now) * WP_US_PER_MS > BETTER_TIMES * took;
@@ -308,14 +316,15 @@
         wp_flow_expect_us(f, now, model_at(f, models->len - 1), &reading_us);
     if (small <= 0 || large <= 0)
         return false;
-    const WPCascadeAhead c = {
+    const WPCascadeStart c = {
         .prompt_tokens = f->prompt.tokens,
         .answer_tokens = f->answer_tokens,
-        .cost = wp_service_cost(f->service, model_at(f, models->len - 1).p),
-        .read = reading_price(f, reading_us),
-        .good = wp_direct_quality(f->d, f->route->name)->good,
-        .in_time_both = wp_cascade_in_time(small + large, aim_us),
-        .in_time_one = wp_cascade_in_time(large, aim_us),
+        .model_cost =
+            wp_service_cost(f->service, model_at(f, models->len - 1).p),
+        .prefill_price = reading_price(f, reading_us),
+        .good_share = wp_direct_quality(f->d, f->route->name)->share,
+        .on_time_both = wp_cascade_on_time_chance(small + large, aim_us),
+        .on_time_largest = wp_cascade_on_time_chance(large, aim_us),
     };
-    return wp_cascade_skips(&f->d->rules.cascade, &c);
+    return wp_cascade_starts_with_largest(&f->d->rules.cascade, &c);
 }
--- a/src/wp_flow_suspect.c
+++ b/src/wp_flow_suspect.c
@@ -25,19 +25,20 @@
    all that runs there: only the first one is a failure of its version. With
    each counted, one crash of a half-full endpoint made its version one that
    fails under load, which is then spared for 30 s (test_loaded). */
-WPServed wp_flow_ended_how(const WPFlow *f, WPLoss how)
+WPAttemptOutcome wp_flow_ended_how(const WPFlow *f, WPLoss how)
 {
-    bool gone = wp_suspects_is_gone(f->d->suspects, f->leg.replica->life_hash);
+    bool gone =
+        wp_suspects_is_gone(f->d->suspects, f->leg.replica->incarnation_hash);
     if (how == WP_LOSS_SILENT || gone)
-        return WP_SERVED_SILENT;
+        return WP_OUTCOME_NO_RESPONSE;
     bool stream = f->route->repeat == WP_REPEAT_STREAM;
-    return stream ? WP_SERVED_BROKEN : WP_SERVED_FAILED;
+    return stream ? WP_OUTCOME_STREAM_BROKEN : WP_OUTCOME_FAILED;
 }
 
 void wp_flow_note_ended(WPFlow *f, WPTime now)
 {
     const WPReplica *s = f->leg.replica;
-    const WPSuspectRun run = { f->hash, s->life_hash, wp_flow_version(s),
+    const WPSuspectRun run = { f->hash, s->incarnation_hash, wp_flow_version(s),
                                f->leg.sent_us, f->leg.first_us };
     wp_count(&f->d->counters, WP_C_ENDED_UNDER);
     f->ended = wp_suspects_ended(f->d->suspects, now, &run);
--- a/src/wp_node.c
+++ b/src/wp_node.c
@@ -128,7 +128,7 @@
     (void)now;
     if (r->seq <= wp_quality_seq(n->quality))
         return;
-    wp_quality_take(n->quality, r, n->policy);
+    wp_quality_update(n->quality, r, n->policy);
     wp_node_act(n, WP_ACT_QUALITY);
 }
 
--- a/src/wp_notice.h
+++ b/src/wp_notice.h
@@ -10,8 +10,8 @@
  * - pace: answers; nobody; follows slowly; weighs
  *
  * Limits and cold endpoints bar what is beyond a quota (wp_limit.h, wp_pace.h).
- * Each way to an endpoint asks wp_fleet_bar() (wp_fleet_bar.c). Ways weighed:
- * docs/design/what-endpoints-say.md. */
+ * Each way to an endpoint asks wp_fleet_exclusion() (wp_fleet_exclusion.c).
+ * Ways weighed: docs/design/what-endpoints-say.md. */
 #ifndef WP_NOTICE_H
 #define WP_NOTICE_H
 
--- a/src/wp_plan.c
+++ b/src/wp_plan.c
@@ -59,18 +59,18 @@
 }
 
 /* The chooser's word on these versions. */
-static WPChosen choose_among(WPEntry *e, WPTime now, const WPRequest *r,
-                             const WPKind *kind, WPSet allowed,
-                             bool may_explore)
+static WPVersionChoice choose_among(WPEntry *e, WPTime now, const WPRequest *r,
+                                    const WPKind *kind, WPSet allowed,
+                                    bool may_explore)
 {
-    WPChoice c = {
+    WPVersionQuery c = {
         .policy = e->policy,
         .kind = kind,
-        .table = e->bounds,
+        .bounds = e->bounds,
         .allowed = allowed,
         .prompt_tokens = r->prompt_tokens,
         .answer_tokens = r->answer_tokens,
-        .u = g_rand_double(e->rand),
+        .random = g_rand_double(e->rand),
         .may_explore = may_explore,
     };
     wp_rollout_narrow(e->policy, wp_str(r->id), (uint64_t)now.wall_ms,
@@ -88,7 +88,7 @@
                         const WPKind *kind)
 {
     bool may = may_explore(e, r);
-    WPChosen got = choose_among(e, now, r, kind, r->allowed, may);
+    WPVersionChoice got = choose_among(e, now, r, kind, r->allowed, may);
     if (got.version < 0)
         return;
     r->version = g_strdup(version_name(e, got.version));
@@ -114,7 +114,7 @@
         rest.w[w] &= ~r->full.w[w];
     if (wp_set_empty(&rest))
         return;
-    WPChosen got = choose_among(e, now, r, kind, rest, false);
+    WPVersionChoice got = choose_among(e, now, r, kind, rest, false);
     unsigned n = wp_policy_versions(e->policy);
     if (got.version < 0 || !wp_set_has(&rest, (unsigned)got.version) ||
         e->bounds[kind->index * n + (unsigned)got.version].low <
@@ -231,22 +231,22 @@
                        (uint64_t)now.wall_ms, e->once_settle_ms);
     WPEndpoint *p = row ? wp_entry_endpoint(e, row->m->id) : NULL;
     *known = row != NULL;
-    return p && !p->leaving ? p : NULL;
+    return p && !p->draining ? p : NULL;
 }
 
 static WPEndpoint *pick_balanced(WPEntry *e, WPTime now, const WPRequest *r,
                                  const WPPool *pool)
 {
-    WPPick pick = {
-        .near = (WPEndpoint *const *)pool->near->pdata,
-        .n_near = pool->near->len,
-        .far = (WPEndpoint *const *)pool->far->pdata,
-        .n_far = pool->far->len,
+    WPPickQuery pick = {
+        .local = (WPEndpoint *const *)pool->near->pdata,
+        .n_local = pool->near->len,
+        .remote = (WPEndpoint *const *)pool->far->pdata,
+        .n_remote = pool->far->len,
         .affinity = r->affinity,
         .now_us = now.mono_us,
     };
     for (unsigned i = 0; i < r->n_tried; i++)
-        pick.avoid[pick.n_avoid++] = r->tried[i];
+        pick.tried[pick.n_tried++] = r->tried[i];
     return e->balancer->ops->pick(e->balancer, &pick);
 }
 
@@ -271,7 +271,7 @@
     r->accepted = false;
     r->answered = false;
     r->sent_us = now.mono_us;
-    r->foretold = wp_balancer_foretell(p, now.mono_us);
+    r->foretold = wp_balancer_predict(p, now.mono_us);
     wp_endpoint_sent(p, now.mono_us);
     wp_events_add(wp_node_events(e->node), now, WP_EVENT_CHOSEN, r->id,
                   "%s at %s leg %u", r->version, p->id, r->leg);
--- a/src/wp_pools.c
+++ b/src/wp_pools.c
@@ -1,11 +1,12 @@
-/* The entry's table of endpoints, brought up to date from the table of boxes
- * and split by version and nearness. */
+/* The entry's endpoint table, brought up to date from the member table and
+ * split into pools by version and zone. */
 #include "wp_entry_int.h"
 
-static WPEndpoint *need_endpoint(WPEntry *e, const WPMemberRow *r)
+static WPEndpoint *get_endpoint(WPEntry *e, const WPMemberRow *r)
 {
     WPEndpoint *p = g_hash_table_lookup(e->endpoints, r->m->id);
-    /* A replaced box starts with a clean sheet, also at the same address. */
+    /* Endpoint state belongs to a box id and address: a box that replaces
+       another one, also at the same address, starts with new state. */
     if (p && strcmp(p->addr, r->addr) == 0)
         return p;
     p = g_new0(WPEndpoint, 1);
@@ -55,17 +56,18 @@
         if (!v)
             continue;
         WPPool *pool = &e->pools[v->index];
-        bool near = !strcmp(p->zone, e->zone);
-        g_ptr_array_add(near ? pool->near : pool->far, p);
+        bool is_local = !strcmp(p->zone, e->zone);
+        g_ptr_array_add(is_local ? pool->near : pool->far, p);
     }
 }
 
-/* Drops endpoints that are no longer listed and have nothing under way. */
-static void sweep(WPEntry *e)
+/* Removes endpoints that have left the member table and have no requests in
+   flight. */
+static void remove_departed(WPEntry *e)
 {
     for (guint i = e->all->len; i-- > 0;) {
         WPEndpoint *p = e->all->pdata[i];
-        if (p->listed || p->inflight)
+        if (p->is_member || p->inflight)
             continue;
         if (g_hash_table_lookup(e->endpoints, p->id) == p)
             g_hash_table_remove(e->endpoints, p->id);
@@ -80,18 +82,18 @@
     (void)now;
     make_pools(e);
     for (guint i = 0; i < e->all->len; i++)
-        ((WPEndpoint *)e->all->pdata[i])->listed = false;
+        ((WPEndpoint *)e->all->pdata[i])->is_member = false;
     for (unsigned i = 0; i < wp_members_live(t); i++) {
         const WPMemberRow *r = wp_members_live_at(t, i);
         if (r->m->role != WP__ROLE__ROLE_AGENT)
             continue;
-        WPEndpoint *p = need_endpoint(e, r);
-        p->listed = true;
-        p->leaving = r->m->leaving;
-        if (!p->leaving)
+        WPEndpoint *p = get_endpoint(e, r);
+        p->is_member = true;
+        p->draining = r->m->leaving;
+        if (!p->draining)
             add_to_pools(e, p, r->m);
     }
-    sweep(e);
+    remove_departed(e);
 }
 
 WPEndpoint *wp_entry_endpoint(WPEntry *e, const char *id)
@@ -112,15 +114,15 @@
 }
 
 unsigned wp_entry_probes(WPEntry *e, WPTime now, const WPRequest *r,
-                         WPEndpoint **out, unsigned most)
+                         WPEndpoint **out, unsigned max)
 {
     const WPVersion *v = wp_policy_version(e->policy, r->version);
     unsigned n = 0;
     if (!v || v->index >= e->n_pools)
         return 0;
-    GPtrArray *near = e->pools[v->index].near;
-    GPtrArray *from = near->len ? near : e->pools[v->index].far;
-    for (unsigned i = 0; i < most && from->len; i++) {
+    GPtrArray *local = e->pools[v->index].near;
+    GPtrArray *from = local->len ? local : e->pools[v->index].far;
+    for (unsigned i = 0; i < max && from->len; i++) {
         gint k = g_rand_int_range(e->rand, 0, (gint)from->len);
         WPEndpoint *p = from->pdata[k];
         if (now.mono_us - p->probe_us < WP_PROBE_FRESH_US ||
--- a/src/wp_prompt.c
+++ b/src/wp_prompt.c
@@ -1,25 +1,25 @@
-/* Parts of prompts. */
+/* Prompt parts and the hashes of prefixes. */
 #include "wp_prompt.h"
 
 bool wp_prompt_add(WPPrompt *p, WPStr id, uint32_t tokens)
 {
-    if (p->n == WP_PARTS_MOST)
+    if (p->n_parts == WP_PROMPT_PARTS_MAX)
         return false;
-    const WPPart *last = p->n ? &p->parts[p->n - 1] : NULL;
-    uint32_t from = last ? last->end : 0;
-    p->parts[p->n++] = (WPPart){
-        .prefix = wp_hash(id, last ? last->prefix : 0),
-        .end = from + MIN(tokens, p->tokens - from),
+    const WPPromptPart *last = p->n_parts ? &p->parts[p->n_parts - 1] : NULL;
+    uint32_t from = last ? last->end_tokens : 0;
+    p->parts[p->n_parts++] = (WPPromptPart){
+        .prefix_hash = wp_hash(id, last ? last->prefix_hash : 0),
+        .end_tokens = from + MIN(tokens, p->tokens - from),
     };
     return true;
 }
 
-uint64_t wp_prompt_shared(const WPPrompt *p)
+uint64_t wp_prompt_shared_hash(const WPPrompt *p)
 {
-    return p->n > 1 ? p->parts[p->n - 2].prefix : 0;
+    return p->n_parts > 1 ? p->parts[p->n_parts - 2].prefix_hash : 0;
 }
 
 uint32_t wp_prompt_shared_tokens(const WPPrompt *p)
 {
-    return p->n > 1 ? p->parts[p->n - 2].end : 0;
+    return p->n_parts > 1 ? p->parts[p->n_parts - 2].end_tokens : 0;
 }
--- a/src/wp_prompt.h
+++ b/src/wp_prompt.h
@@ -1,32 +1,35 @@
-/* The parts of a prompt, in order: other requests may begin with the same
- * ones, which an engine then need not read again. */
+/* The parts of a prompt, in order. Requests that begin with the same parts
+ * share a prefix, which an engine that has it cached need not prefill again. */
 #ifndef WP_PROMPT_H
 #define WP_PROMPT_H
 
 #include "wp_base.h"
 
-enum { WP_PARTS_MOST = 8 /* later ones count as the request's own */ };
+enum {
+    WP_PROMPT_PARTS_MAX = 8 /* later ones are not shared between requests */
+};
 
-typedef struct WPPart {
-    uint64_t prefix; /* hash of the prompt from its beginning to here */
-    uint32_t end;    /* tokens from the beginning to here */
-} WPPart;
+typedef struct WPPromptPart {
+    uint64_t prefix_hash; /* hash of the prompt from its beginning to the end of
+                             this part */
+    uint32_t end_tokens; /* tokens from the beginning to the end of this part */
+} WPPromptPart;
 
 typedef struct WPPrompt {
     uint32_t tokens; /* of the whole prompt */
-    unsigned n;
-    WPPart parts[WP_PARTS_MOST];
+    unsigned n_parts;
+    WPPromptPart parts[WP_PROMPT_PARTS_MAX];
 } WPPrompt;
 
-/* Adds the next part; tokens beyond those of the whole prompt do not count.
-   Returns false when no more parts fit. */
+/* Appends a part of `tokens` tokens with this id; tokens beyond those of the
+   whole prompt do not count. Returns false if no more parts fit. */
 bool wp_prompt_add(WPPrompt *p, WPStr id, uint32_t tokens);
 
-/* A hash of all parts but the last, which is the request's own or its
-   session's; 0 when there are none. */
-uint64_t wp_prompt_shared(const WPPrompt *p);
+/* Hash of the shared prefix: all parts but the last, which is the request's
+   own or its session's. 0 if there are no such parts. */
+uint64_t wp_prompt_shared_hash(const WPPrompt *p);
 
-/* The tokens of those parts. */
+/* Number of tokens in the shared prefix. */
 uint32_t wp_prompt_shared_tokens(const WPPrompt *p);
 
 #endif
--- a/src/wp_quality.c
+++ b/src/wp_quality.c
@@ -1,4 +1,4 @@
-/* Posteriors and the sequential test over sums of ratings. */
+/* Quality estimates and the sequential test, from sums of ratings. */
 #include "wp_quality.h"
 #include "wp_pb.h"
 
@@ -6,9 +6,9 @@
 
 typedef struct Cell {
     char *kind, *version;
-    uint32_t count_seen; /* cumulative, as last taken */
+    uint32_t count_seen; /* cumulative, as of the latest update */
     double sum_seen;
-    double count, sum; /* with old ratings fading */
+    double count, sum; /* with older ratings decaying */
     double cusum;
 } Cell;
 
@@ -51,7 +51,7 @@
     return NULL;
 }
 
-static Cell *need_cell(WPQuality *q, const char *kind, const char *version)
+static Cell *get_cell(WPQuality *q, const char *kind, const char *version)
 {
     Cell *c = find_cell(q, kind, version);
     if (c)
@@ -63,10 +63,10 @@
     return c;
 }
 
-/* The quality expected of a version: the operators' word, or, while it is
-   being rolled out, what the version it replaces has shown. */
-static double reference(const WPQuality *q, const WPPolicy *p, const char *kind,
-                        const WPVersion *v)
+/* The expected quality of a version: its configured prior or, while it is
+   being rolled out, the observed quality of the version that it replaces. */
+static double expected_quality(const WPQuality *q, const WPPolicy *p,
+                               const char *kind, const WPVersion *v)
 {
     for (unsigned i = 0; i < wp_policy_rollouts(p); i++) {
         const WPRollout *r = wp_policy_rollout_at(p, i);
@@ -79,38 +79,39 @@
     return v->spec->quality_prior;
 }
 
-/* `past`: the sums of before this box began. They tell how good a version is,
-   but not when it was bad: an operator may have let it serve again since. */
-static void take_sum(WPQuality *q, const Wp__RatingSum *s, const WPPolicy *p,
-                     bool past)
+/* `is_past`: the sums are from before this box started. They count for the
+   quality estimate but not for the test, as they do not tell when a version
+   was bad: an operator may have re-enabled it since. */
+static void take_rating_sum(WPQuality *q, const Wp__RatingSum *s,
+                            const WPPolicy *p, bool is_past)
 {
-    Cell *c = need_cell(q, s->kind, s->version);
+    Cell *c = get_cell(q, s->kind, s->version);
     const WPVersion *v = p ? wp_policy_version(p, s->version) : NULL;
     if (s->count <= c->count_seen)
         return;
     double n = s->count - c->count_seen;
     double good = s->sum - c->sum_seen;
-    double keep = exp(-n / WP_QUALITY_WINDOW);
-    /* A long past counts for no more than the window. */
+    double decay = exp(-n / WP_QUALITY_WINDOW);
+    /* A long history counts for no more than the window. */
     double weight = fmin(1, WP_QUALITY_WINDOW / n);
-    c->count = c->count * keep + n * weight;
-    c->sum = c->sum * keep + good * weight;
+    c->count = c->count * decay + n * weight;
+    c->sum = c->sum * decay + good * weight;
     c->count_seen = s->count;
     c->sum_seen = s->sum;
-    if (v && !past) {
-        double expect = reference(q, p, s->kind, v) - WP_CUSUM_SLACK;
+    if (v && !is_past) {
+        double expect = expected_quality(q, p, s->kind, v) - WP_CUSUM_SLACK;
         c->cusum = fmax(0, c->cusum + n * expect - good);
     }
 }
 
-void wp_quality_take(WPQuality *q, const Wp__Ratings *r, const WPPolicy *p)
+void wp_quality_update(WPQuality *q, const Wp__Ratings *r, const WPPolicy *p)
 {
     if (r->seq <= q->seq)
         return;
-    bool past = q->seq == 0;
+    bool is_past = q->seq == 0;
     q->seq = r->seq;
     for (size_t i = 0; i < r->n_sums; i++)
-        take_sum(q, r->sums[i], p, past);
+        take_rating_sum(q, r->sums[i], p, is_past);
 }
 
 static WPBound bound_of(const Cell *c, const Wp__Version *v)
@@ -139,7 +140,8 @@
     return table;
 }
 
-bool wp_quality_bad(const WPQuality *q, const char *version, const char **kind)
+bool wp_quality_is_bad(const WPQuality *q, const char *version,
+                       const char **kind)
 {
     for (guint i = 0; i < q->cells->len; i++) {
         const Cell *c = q->cells->pdata[i];
@@ -163,7 +165,7 @@
     }
 }
 
-double wp_quality_count(const WPQuality *q, const char *version)
+double wp_quality_rating_count(const WPQuality *q, const char *version)
 {
     double n = 0;
     for (guint i = 0; i < q->cells->len; i++) {
--- a/src/wp_quality.h
+++ b/src/wp_quality.h
@@ -1,23 +1,24 @@
-/* What the ratings tell of each (kind, version): a posterior with bounds, and
- * a sequential test for a version that has turned bad. */
+/* Quality of each (kind, version) by its ratings: a posterior distribution
+ * with bounds, and a sequential test (CUSUM) for a version that has turned
+ * bad. */
 #ifndef WP_QUALITY_H
 #define WP_QUALITY_H
 
 #include "wire.pb-c.h"
 #include "wp_policy.h"
 
-/* Ratings older than about this many newer ones have lost their weight. */
+/* Time constant, in ratings, of the decay of older ratings. */
 #define WP_QUALITY_WINDOW 1000.0
 /* Standard deviations from the mean to each bound: one-sided 90 in 100. */
 #define WP_QUALITY_Z 1.28
-/* The test ignores a loss of quality this small. */
+/* The test ignores losses of quality up to this. */
 #define WP_CUSUM_SLACK 0.1
-/* Sum of losses at which the test says bad. */
+/* Accumulated loss from which the test finds a version bad. */
 #define WP_CUSUM_LIMIT 6.0
 
 typedef struct WPQuality WPQuality;
 
-/* Bounds of the probability that an answer is good. */
+/* Posterior mean and bounds of the probability that an answer is good. */
 typedef struct WPBound {
     double mean, low, high;
 } WPBound;
@@ -25,23 +26,26 @@
 WPQuality *wp_quality_new(void);
 void wp_quality_free(WPQuality *q);
 
-/* Takes cumulative sums of the whole fleet; older sums are ignored. The
-   policy gives what each version was expected to reach. */
-void wp_quality_take(WPQuality *q, const Wp__Ratings *r, const WPPolicy *p);
+/* Takes the cumulative rating sums of the whole fleet unless newer ones are
+   known. The policy gives the quality expected of each version. */
+void wp_quality_update(WPQuality *q, const Wp__Ratings *r, const WPPolicy *p);
 
-/* A new array of [kinds * versions], indexed kind * versions + version. */
+/* Returns a new array of [kinds * versions] bounds, indexed kind * versions +
+   version; free with g_free(). */
 WPBound *wp_quality_table(const WPQuality *q, const WPPolicy *p);
 
-/* Whether the test has found the version bad for any kind; `kind` then names
-   it. Ratings from before `since` (a change of the reference) are forgotten
-   by wp_quality_forget(). */
-bool wp_quality_bad(const WPQuality *q, const char *version, const char **kind);
+/* Whether the test has found the version bad for some kind of request; sets
+   `kind` to its name. wp_quality_forget() discards the version's ratings so
+   far, as is due when the expected quality changes. */
+bool wp_quality_is_bad(const WPQuality *q, const char *version,
+                       const char **kind);
 void wp_quality_forget(WPQuality *q, const char *version);
 
-/* Ratings seen of the version, over all kinds. */
-double wp_quality_count(const WPQuality *q, const char *version);
+/* Number of ratings received for the version, over all kinds. */
+double wp_quality_rating_count(const WPQuality *q, const char *version);
 
-/* Latest cumulative sums, for passing on; free with wp_pb_free(). */
+/* The latest cumulative sums, to be sent to other boxes; free with
+   wp_pb_free(). wp_quality_seq() is their sequence number. */
 Wp__Ratings *wp_quality_sums(const WPQuality *q);
 uint64_t wp_quality_seq(const WPQuality *q);
 
--- a/src/wp_rollout.c
+++ b/src/wp_rollout.c
@@ -137,7 +137,7 @@
         g_hash_table_insert(w->seen, g_strdup(r->spec->name), d);
     }
     /* The first sums that a box hears are of the past; sums may be dropped. */
-    double count = wp_quality_count(q, r->spec->to);
+    double count = wp_quality_rating_count(q, r->spec->to);
     if (!d->since_us || !d->rated || count < d->ratings)
         d->ratings = count;
     d->rated = wp_quality_seq(q) > 0;
@@ -161,14 +161,14 @@
 {
     const char *kind;
     bool held = !strcmp(s->gate, "hold") || !strcmp(s->gate, "watch");
-    if (strcmp(s->gate, "none") && wp_quality_bad(q, r->spec->to, &kind)) {
+    if (strcmp(s->gate, "none") && wp_quality_is_bad(q, r->spec->to, &kind)) {
         *why = kind;
         return "bad";
     }
     if (!dwelt || held)
         return NULL;
     if (!strcmp(s->gate, "quality") &&
-        wp_quality_count(q, r->spec->to) - d->ratings < s->ratings)
+        wp_quality_rating_count(q, r->spec->to) - d->ratings < s->ratings)
         return NULL;
     *why = "dwell and gate passed";
     return "next";
@@ -262,7 +262,7 @@
     const char *kind;
     for (unsigned i = 0; i < wp_policy_versions(p); i++) {
         const Wp__Version *v = wp_policy_version_at(p, i)->spec;
-        if (v->withdrawn || !wp_quality_bad(q, v->name, &kind) ||
+        if (v->withdrawn || !wp_quality_is_bad(q, v->name, &kind) ||
             last_one(p, i))
             continue;
         GPtrArray *ops = g_ptr_array_new();
--- a/tests/direct_fake.h
+++ b/tests/direct_fake.h
@@ -68,18 +68,19 @@
 static inline void fake_init_chart(Fake *k, const char *chart)
 {
     GError *error = NULL;
-    WPDirectRules rules = {
-        .zone = "z1",
-        .retries = { 0.5, 20, 10000 },
-        .session_ms = 5000,
-        .cascade = { .even = 50,
-                     .spread = 10,
-                     .value = 0.35,
-                     .base = 0.6,
-                     .strain_from = 0.35,
-                     .strain_weight = 5 },
-        .fleet = { .zone = 0.35, .zone_kb = 0.02, .home = 0.4, .slow = 0.25 }
-    };
+    WPDirectRules rules = { .zone = "z1",
+                            .retries = { 0.5, 20, 10000 },
+                            .session_ms = 5000,
+                            .cascade = { .confidence_even = 50,
+                                         .confidence_spread = 10,
+                                         .answer_value = 0.35,
+                                         .request_value = 0.6,
+                                         .strain_from = 0.35,
+                                         .strain_weight = 5 },
+                            .fleet = { .zone_weight = 0.35,
+                                       .zone_weight_per_kb = 0.02,
+                                       .affinity_weight = 0.4,
+                                       .slow_weight = 0.25 } };
     memset(k, 0, sizeof(*k));
     k->now = (WPTime){ 1000000000, 1700000000000 };
     k->chart = wp_chart_read(wp_str(chart), "chart", &error);
--- a/tests/test_areas.c
+++ b/tests/test_areas.c
@@ -111,26 +111,27 @@
     wp_prompt_add(&p, wp_str("aa"), 6000);
     wp_prompt_add(&p, wp_str("bb"), 2000);
     GPtrArray *areas = g_ptr_array_new();
-    WPWant w = { .service = "llm",
-                 .zone = "z1",
-                 .prompt = &p,
-                 .model = 1,
-                 .speed = wp_direct_speed(&k.d, "llm", wp_str("small")) };
+    WPEndpointQuery w = { .service = "llm",
+                          .zone = "z1",
+                          .prompt = &p,
+                          .model = 1,
+                          .ttfb =
+                              wp_direct_speed(&k.d, "llm", wp_str("small")) };
     WPReplica *north = wp_fleet_find(k.d.fleet, "north-llm");
     WPReplica *south = wp_fleet_find(k.d.fleet, "south-llm");
     const WPReplica *source;
     WPFleetRules rules = k.d.rules.fleet;
-    rules.keep = true;
-    rules.read_kt = 1;
-    rules.move_kt = 0.01;
-    wp_fleet_rules(k.d.fleet, &rules);
-    wp_fleet_sent(k.d.fleet, north, k.now, &w, 0);
+    rules.track_prefixes = true;
+    rules.prefill_weight_per_kt = 1;
+    rules.transfer_weight_per_kt = 0.01;
+    wp_fleet_set_rules(k.d.fleet, &rules);
+    wp_fleet_request_sent(k.d.fleet, north, k.now, &w, 0);
     k.now.mono_us += 1000000;
-    wp_fleet_work(k.d.fleet, k.now, &w, south, &source);
+    wp_fleet_ttfb_inputs(k.d.fleet, k.now, &w, south, &source);
     assert_ptr_equal(source, north);
     g_ptr_array_add(areas, "south");
     w.areas = areas;
-    wp_fleet_work(k.d.fleet, k.now, &w, south, &source);
+    wp_fleet_ttfb_inputs(k.d.fleet, k.now, &w, south, &source);
     assert_null(source);
     g_ptr_array_unref(areas);
     fake_end(&k);
--- a/tests/test_box_news.c
+++ b/tests/test_box_news.c
@@ -7,9 +7,10 @@
 
 static const WPPrompt prompt = { .tokens = 10000 };
 
-static WPWant engine(void)
+static WPEndpointQuery engine(void)
 {
-    return (WPWant){ .service = "llm", .zone = "z1", .prompt = &prompt };
+    return (
+        WPEndpointQuery){ .service = "llm", .zone = "z1", .prompt = &prompt };
 }
 
 /* `to` takes what `from` has to tell. */
@@ -25,7 +26,7 @@
 static double ahead_ms(Fake *k, const char *id)
 {
     const WPReplica *s = wp_fleet_find(k->d.fleet, id);
-    return wp_fleet_ahead_us(s, k->now) / WP_US_PER_MS;
+    return wp_fleet_queued_prefill_us(s, k->now) / WP_US_PER_MS;
 }
 
 static double load(Fake *k, const char *id)
@@ -39,28 +40,28 @@
 {
     Fake x, y;
     WPBoxNews news;
-    const WPWant w = engine();
+    const WPEndpointQuery w = engine();
     (void)state;
     fake_init(&x);
     fake_init(&y);
     wp_box_news_init(&news);
-    wp_fleet_tell(x.d.fleet, &news);
+    wp_fleet_set_updates(x.d.fleet, &news);
     WPReplica *s = wp_fleet_find(x.d.fleet, "l1");
-    wp_fleet_told_load(x.d.fleet, s, x.now, 3, 1, 8);
-    wp_fleet_sent(x.d.fleet, s, x.now, &w, 400 * WP_US_PER_MS);
-    wp_fleet_sent(x.d.fleet, s, x.now, &w, 500 * WP_US_PER_MS);
+    wp_fleet_record_load(x.d.fleet, s, x.now, 3, 1, 8);
+    wp_fleet_request_sent(x.d.fleet, s, x.now, &w, 400 * WP_US_PER_MS);
+    wp_fleet_request_sent(x.d.fleet, s, x.now, &w, 500 * WP_US_PER_MS);
     assert_int_equal(deliver(&news, &y), 0);
     assert_false(wp_box_news_any(&news));
     assert_float_equal(ahead_ms(&y, "l1"), 900, 1);
     assert_float_equal(ahead_ms(&y, "l2"), 0, 1);
     assert_float_equal(load(&y, "l1"), 4, 0.01);
-    wp_fleet_began(x.d.fleet, s, 400 * WP_US_PER_MS, 1, 0);
+    wp_fleet_first_byte(x.d.fleet, s, 400 * WP_US_PER_MS, 1, 0);
     deliver(&news, &y);
     assert_float_equal(ahead_ms(&y, "l1"), 500, 1);
     for (int i = 0; i < 2; i++)
-        wp_fleet_ended(s, x.now, WP_SERVED_LEFT);
+        wp_fleet_request_ended(s, x.now, WP_OUTCOME_ABANDONED);
     wp_box_news_end(&news);
-    wp_fleet_tell(x.d.fleet, NULL);
+    wp_fleet_set_updates(x.d.fleet, NULL);
     fake_end(&x);
     fake_end(&y);
 }
@@ -72,10 +73,10 @@
     (void)state;
     fake_init(&k);
     WPReplica *s = wp_fleet_find(k.d.fleet, "l1");
-    wp_fleet_hear_sent(s, k.now, 400 * WP_US_PER_MS);
+    wp_fleet_merge_sent(s, k.now, 400 * WP_US_PER_MS);
     fake_pass(&k, 800);
     assert_float_equal(ahead_ms(&k, "l1"), 200, 1);
-    wp_fleet_hear_began(s, k.now, 900 * WP_US_PER_MS);
+    wp_fleet_merge_first_byte(s, k.now, 900 * WP_US_PER_MS);
     assert_float_equal(ahead_ms(&k, "l1"), 0, 1);
     fake_pass(&k, 3000);
     assert_float_equal(ahead_ms(&k, "l1"), 0, 1);
@@ -90,12 +91,12 @@
     (void)state;
     fake_init(&k);
     WPReplica *s = wp_fleet_find(k.d.fleet, "l1");
-    wp_fleet_load(s, k.now, 2, 0, 8);
+    wp_fleet_set_load(s, k.now, 2, 0, 8);
     fake_pass(&k, 20);
-    wp_fleet_hear_load(s, k.now, 7, 1);
+    wp_fleet_merge_load(s, k.now, 7, 1);
     assert_float_equal(load(&k, "l1"), 2, 0.01);
     fake_pass(&k, 200);
-    wp_fleet_hear_load(s, k.now, 7, 1);
+    wp_fleet_merge_load(s, k.now, 7, 1);
     assert_float_equal(load(&k, "l1"), 8, 0.01);
     fake_end(&k);
 }
@@ -195,7 +196,7 @@
 {
     WPFleetRules rules = k->d.rules.fleet;
     rules.own_zone = "z1";
-    wp_fleet_rules(k->d.fleet, &rules);
+    wp_fleet_set_rules(k->d.fleet, &rules);
     put_in(k, "n1", "z1");
     put_in(k, "n2", "z1");
     put_in(k, "f1", "z2");
@@ -205,7 +206,7 @@
    boxes away from their own: bytes between zones doubled. */
 static void an_unknown_endpoint_counts_as_the_zones_mean(void **state)
 {
-    const WPWant w = { .service = "far", .zone = "z1" };
+    const WPEndpointQuery w = { .service = "far", .zone = "z1" };
     Fake k;
     (void)state;
     fake_init(&k);
@@ -213,13 +214,13 @@
     for (int i = 0; i < 50; i++) {
         WPReplica *n1 = wp_fleet_find(k.d.fleet, "n1");
         WPReplica *n2 = wp_fleet_find(k.d.fleet, "n2");
-        wp_fleet_load(n1, k.now, 4, 0, 8);
-        wp_fleet_load(n2, k.now, 6, 0, 8);
+        wp_fleet_set_load(n1, k.now, 4, 0, 8);
+        wp_fleet_set_load(n2, k.now, 6, 0, 8);
         fake_pass(&k, 30);
         WPReplica *s = wp_fleet_choose(k.d.fleet, k.now, &w);
         assert_string_equal(s->id, "n1");
         assert_float_equal(load(&k, "f1"), 5, 0.01);
-        wp_fleet_release(s);
+        wp_replica_unref(s);
     }
     fake_end(&k);
 }
@@ -228,17 +229,17 @@
    after a while, it got ten more requests. */
 static void a_silent_endpoint_does_not_become_idle(void **state)
 {
-    const WPWant w = { .service = "far", .zone = "z1" };
+    const WPEndpointQuery w = { .service = "far", .zone = "z1" };
     Fake k;
     (void)state;
     fake_init(&k);
     new_zones(&k);
-    wp_fleet_load(wp_fleet_find(k.d.fleet, "n2"), k.now, 6, 0, 8);
+    wp_fleet_set_load(wp_fleet_find(k.d.fleet, "n2"), k.now, 6, 0, 8);
     for (int ms = 0; ms < 4000; ms += 100) {
-        wp_fleet_load(wp_fleet_find(k.d.fleet, "n1"), k.now, 2, 0, 8);
+        wp_fleet_set_load(wp_fleet_find(k.d.fleet, "n1"), k.now, 2, 0, 8);
         fake_pass(&k, 100);
         WPReplica *s = wp_fleet_choose(k.d.fleet, k.now, &w);
-        wp_fleet_release(s);
+        wp_replica_unref(s);
     }
     assert_float_equal(load(&k, "n2"), 2, 0.01);
     fake_end(&k);
--- a/tests/test_entry.c
+++ b/tests/test_entry.c
@@ -105,7 +105,7 @@
     Fake *f = with_agents(1);
     WPStep step;
     (void)state;
-    wp_entry_endpoint(f->entry, "a1")->leaving = true;
+    wp_entry_endpoint(f->entry, "a1")->draining = true;
     WPRequest *r = fake_ask(f, "ping", &step);
     assert_int_equal(step.kind, WP_STEP_LATER);
     f->now.mono_us += 4 * WP_US_PER_S;
--- a/tests/test_flow.c
+++ b/tests/test_flow.c
@@ -133,7 +133,7 @@
     }
     /* A stale listing does not bring it back. */
     fake_put(&k, "a1", "app", "v1", false);
-    assert_true(wp_fleet_find(k.d.fleet, "a1")->said.leaving.from);
+    assert_true(wp_fleet_find(k.d.fleet, "a1")->reported.leaving.from);
     fake_end(&k);
 }
 
@@ -155,7 +155,7 @@
         wp_flow_left(f, k.now);
         wp_flow_free(f);
         /* Also where the other one is the fuller by far. */
-        wp_fleet_load(other, k.now, 6, 0, 8);
+        wp_fleet_set_load(other, k.now, 6, 0, 8);
         f = fake_ask(&k, "/chat/x", NULL, &m);
         assert_ptr_equal(m.replica, other);
         wp_flow_done(f, k.now, 9);
--- a/tests/test_kept.c
+++ b/tests/test_kept.c
@@ -1,6 +1,6 @@
 /* What engines keep of prompts, and the choice that follows from it. */
 #include "direct_fake.h"
-#include "wp_bid.h"
+#include "wp_engine_cost.h"
 
 #include <stdlib.h>
 
@@ -21,40 +21,41 @@
 
 static void a_part_is_kept_by_model_and_with_all_before_it(void **state)
 {
-    WPKept *k = wp_kept_new();
+    WPPrefixCache *k = wp_prefix_cache_new();
     WPPrompt p = prompt_of(9000, 1000, 1), q = prompt_of(9000, 500, 1);
     WPPrompt other = prompt_of(9000, 1000, 2);
     (void)state;
-    wp_kept_read(k, at(0), 7, &p);
-    assert_int_equal(wp_kept_tokens(k, at(10), 7, &p), 10000);
-    assert_int_equal(wp_kept_tokens(k, at(10), 7, &q), 9000);
-    assert_int_equal(wp_kept_tokens(k, at(10), 8, &q), 0);
-    assert_int_equal(wp_kept_tokens(k, at(10), 7, &other), 0);
-    assert_int_equal(wp_kept_tokens(k, at(120000), 7, &q), 0);
-    wp_kept_free(k);
+    wp_prefix_cache_add(k, at(0), 7, &p);
+    assert_int_equal(wp_prefix_cache_match(k, at(10), 7, &p), 10000);
+    assert_int_equal(wp_prefix_cache_match(k, at(10), 7, &q), 9000);
+    assert_int_equal(wp_prefix_cache_match(k, at(10), 8, &q), 0);
+    assert_int_equal(wp_prefix_cache_match(k, at(10), 7, &other), 0);
+    assert_int_equal(wp_prefix_cache_match(k, at(120000), 7, &q), 0);
+    wp_prefix_cache_free(k);
 }
 
 static void the_least_recently_used_goes_first(void **state)
 {
-    WPKept *k = wp_kept_new();
+    WPPrefixCache *k = wp_prefix_cache_new();
     WPPrompt a = prompt_of(4000, 0, 1), b = prompt_of(4000, 0, 2);
     WPPrompt c = prompt_of(4000, 0, 3);
     (void)state;
-    wp_kept_room(k, 12000); /* of which seven tenths are for kept prompts */
-    wp_kept_read(k, at(0), 7, &a);
-    wp_kept_read(k, at(1), 7, &b);
-    wp_kept_read(k, at(2), 7, &a);
-    wp_kept_read(k, at(3), 7, &c);
-    assert_int_equal(wp_kept_tokens(k, at(4), 7, &a), 4000);
-    assert_int_equal(wp_kept_tokens(k, at(4), 7, &b), 0);
-    assert_int_equal(wp_kept_tokens(k, at(4), 7, &c), 4000);
-    wp_kept_free(k);
+    wp_prefix_cache_set_capacity(
+        k, 12000); /* of which seven tenths are for kept prompts */
+    wp_prefix_cache_add(k, at(0), 7, &a);
+    wp_prefix_cache_add(k, at(1), 7, &b);
+    wp_prefix_cache_add(k, at(2), 7, &a);
+    wp_prefix_cache_add(k, at(3), 7, &c);
+    assert_int_equal(wp_prefix_cache_match(k, at(4), 7, &a), 4000);
+    assert_int_equal(wp_prefix_cache_match(k, at(4), 7, &b), 0);
+    assert_int_equal(wp_prefix_cache_match(k, at(4), 7, &c), 4000);
+    wp_prefix_cache_free(k);
 }
 
 /* Whatever is sent, the beliefs stay bounded and never exceed the prompt. */
 static void beliefs_are_bounded(void **state)
 {
-    WPKept *k = wp_kept_new();
+    WPPrefixCache *k = wp_prefix_cache_new();
     GRand *r = g_rand_new_with_seed(11);
     (void)state;
     for (int i = 0; i < 20000; i++) {
@@ -64,64 +65,67 @@
             uint32_t id = g_rand_int(r) % 3000;
             WPStr name = wp_strn((const char *)&id, sizeof(id));
             bool added = wp_prompt_add(&p, name, g_rand_int(r));
-            assert_true(added == (n < WP_PARTS_MOST));
+            assert_true(added == (n < WP_PROMPT_PARTS_MAX));
         }
         assert_true(wp_prompt_shared_tokens(&p) <= p.tokens);
         if (i % 3)
-            wp_kept_read(k, at(i), g_rand_int(r) % 3, &p);
+            wp_prefix_cache_add(k, at(i), g_rand_int(r) % 3, &p);
         else
-            wp_kept_hear(k, at(i), g_rand_int(r), g_rand_int(r));
-        assert_true(wp_kept_tokens(k, at(i), 1, &p) <= p.tokens);
-        assert_true(wp_kept_size(k) <= 1024);
+            wp_prefix_cache_add_key(k, at(i), g_rand_int(r), g_rand_int(r));
+        assert_true(wp_prefix_cache_match(k, at(i), 1, &p) <= p.tokens);
+        assert_true(wp_prefix_cache_size(k) <= 1024);
     }
     g_rand_free(r);
-    wp_kept_free(k);
+    wp_prefix_cache_free(k);
 }
 
 /* An engine that reads 38 tokens a millisecond with the model at hand. */
-static void learn(WPSpeed *s)
+static void learn(WPTtfbModel *s)
 {
     for (uint32_t i = 0; i < 100; i++) {
         uint32_t tokens = 500 + (i * 7919) % 20000;
-        WPWork w = { .prompt = tokens, .unread = tokens, .load = i % 5 };
-        wp_speed_add(s, &w, (int64_t)(20000 + tokens * 80.0 + w.load * 5000));
+        WPTtfbInputs w = { .prompt_tokens = tokens,
+                           .uncached_tokens = tokens,
+                           .load = i % 5 };
+        wp_ttfb_add(s, &w, (int64_t)(20000 + tokens * 80.0 + w.load * 5000));
     }
 }
 
-static const WPFleetRules rules = {
-    .zone_kb = 0.03, .read_kt = 0.04, .move_kt = 0.1, .keep = true
-};
+static const WPFleetRules rules = { .zone_weight_per_kb = 0.03,
+                                    .prefill_weight_per_kt = 0.04,
+                                    .transfer_weight_per_kt = 0.1,
+                                    .track_prefixes = true };
 
-static WPWant want_of(WPSpeed *s, const WPPrompt *p, double second)
+static WPEndpointQuery want_of(WPTtfbModel *s, const WPPrompt *p, double second)
 {
-    return (WPWant){ .service = "llm",
-                     .zone = "z1",
-                     .prompt = p,
-                     .model = 7,
-                     .speed = s,
-                     .second = second,
-                     .body_bytes = p->tokens };
+    return (WPEndpointQuery){ .service = "llm",
+                              .zone = "z1",
+                              .prompt = p,
+                              .model = 7,
+                              .ttfb = s,
+                              .ttfb_weight = second,
+                              .body_bytes = p->tokens };
 }
 
 static void the_endpoint_that_keeps_the_prompt_is_preferred(void **state)
 {
     Fake k;
-    WPSpeed s = { 0 };
+    WPTtfbModel s = { 0 };
     (void)state;
     fake_init(&k);
-    wp_fleet_rules(k.d.fleet, &rules);
+    wp_fleet_set_rules(k.d.fleet, &rules);
     learn(&s);
     for (unsigned i = 0; i < 20; i++) {
         WPPrompt p = prompt_of(9000, 1000, i), q = prompt_of(9000, 800, i);
-        const WPWant first = want_of(&s, &p, 0.7);
-        const WPWant next = want_of(&s, &q, 0.7);
+        const WPEndpointQuery first = want_of(&s, &p, 0.7);
+        const WPEndpointQuery next = want_of(&s, &q, 0.7);
         WPReplica *a = wp_fleet_choose(k.d.fleet, k.now, &first);
-        wp_fleet_sent(k.d.fleet, a, k.now, &first, 0);
-        wp_fleet_ended(a, k.now, WP_SERVED_OK);
+        wp_fleet_request_sent(k.d.fleet, a, k.now, &first, 0);
+        wp_fleet_request_ended(a, k.now, WP_OUTCOME_OK);
         WPReplica *b = wp_fleet_choose(k.d.fleet, k.now, &next);
         assert_ptr_equal(a, b);
-        wp_fleet_release(a);
-        wp_fleet_release(b);
+        wp_replica_unref(a);
+        wp_replica_unref(b);
     }
     fake_end(&k);
 }
@@ -131,9 +135,9 @@
 static void kept_memory_is_moved_where_that_pays(void **state)
 {
     Fake k;
-    WPSpeed s = { 0 };
+    WPTtfbModel s = { 0 };
     uint32_t own_tokens[2];
-    WPKeepers keepers = { .own = own_tokens };
+    WPCacheHolders keepers = { .cached_tokens = own_tokens };
     WPPrompt p = prompt_of(9000, 1000, 1);
     (void)state;
     fake_init(&k);
@@ -143,16 +147,18 @@
     WPReplica *b = wp_fleet_find(k.d.fleet, "l2");
     g_ptr_array_add(list, a);
     g_ptr_array_add(list, b);
-    wp_kept_read(a->kept, k.now, 7, &p);
+    wp_prefix_cache_add(a->prefix_cache, k.now, 7, &p);
     for (int dear = 0; dear < 2; dear++) {
-        const WPWant w = want_of(&s, &p, dear ? 4 : 0.1);
-        wp_keepers_find(&keepers, k.now, &w, list);
-        WPBid own = wp_bid(&rules, k.now, &w, a, own_tokens[0], &keepers);
-        WPBid other = wp_bid(&rules, k.now, &w, b, own_tokens[1], &keepers);
+        const WPEndpointQuery w = want_of(&s, &p, dear ? 4 : 0.1);
+        wp_cache_holders_find(&keepers, k.now, &w, list);
+        WPEngineCost own =
+            wp_engine_cost(&rules, k.now, &w, a, own_tokens[0], &keepers);
+        WPEngineCost other =
+            wp_engine_cost(&rules, k.now, &w, b, own_tokens[1], &keepers);
         assert_null(own.source);
         assert_true(other.cost > own.cost);
         assert_true((other.source == a) == dear);
-        assert_int_equal(other.work.unread, dear ? 0 : 10000);
+        assert_int_equal(other.inputs.uncached_tokens, dear ? 0 : 10000);
     }
     g_ptr_array_unref(list);
     fake_end(&k);
@@ -162,9 +168,9 @@
 static void memory_of_another_version_is_not_taken(void **state)
 {
     Fake k;
-    WPSpeed s = { 0 };
+    WPTtfbModel s = { 0 };
     uint32_t own_tokens[2];
-    WPKeepers keepers = { .own = own_tokens };
+    WPCacheHolders keepers = { .cached_tokens = own_tokens };
     WPPrompt p = prompt_of(9000, 1000, 1);
     (void)state;
     fake_init(&k);
@@ -173,11 +179,13 @@
     GPtrArray *list = g_ptr_array_new();
     g_ptr_array_add(list, wp_fleet_find(k.d.fleet, "l1"));
     g_ptr_array_add(list, wp_fleet_find(k.d.fleet, "l2"));
-    wp_kept_read(wp_fleet_find(k.d.fleet, "l1")->kept, k.now, 7, &p);
-    const WPWant w = want_of(&s, &p, 4);
-    wp_keepers_find(&keepers, k.now, &w, list);
-    WPBid b = wp_bid(&rules, k.now, &w, wp_fleet_find(k.d.fleet, "l2"),
-                     own_tokens[1], &keepers);
+    wp_prefix_cache_add(wp_fleet_find(k.d.fleet, "l1")->prefix_cache, k.now, 7,
+                        &p);
+    const WPEndpointQuery w = want_of(&s, &p, 4);
+    wp_cache_holders_find(&keepers, k.now, &w, list);
+    WPEngineCost b =
+        wp_engine_cost(&rules, k.now, &w, wp_fleet_find(k.d.fleet, "l2"),
+                       own_tokens[1], &keepers);
     assert_null(b.source);
     g_ptr_array_unref(list);
     fake_end(&k);
@@ -187,26 +195,27 @@
 static void boxes_tell_each_other_what_is_kept(void **state)
 {
     Fake x, y;
-    WPSpeed s = { 0 };
-    WPKeptNews news[8];
+    WPTtfbModel s = { 0 };
+    WPCachedPrefixUpdate news[8];
     WPPrompt p = prompt_of(9000, 1000, 1), small = prompt_of(300, 100, 2);
     (void)state;
     fake_init(&x);
     fake_init(&y);
-    wp_fleet_rules(x.d.fleet, &rules);
+    wp_fleet_set_rules(x.d.fleet, &rules);
     learn(&s);
     WPReplica *a = wp_fleet_find(x.d.fleet, "l1");
-    WPWant w = want_of(&s, &p, 1);
-    wp_fleet_sent(x.d.fleet, a, x.now, &w, 0);
+    WPEndpointQuery w = want_of(&s, &p, 1);
+    wp_fleet_request_sent(x.d.fleet, a, x.now, &w, 0);
     w.prompt = &small;
-    wp_fleet_sent(x.d.fleet, a, x.now, &w, 0);
-    assert_int_equal(wp_fleet_tell_kept(x.d.fleet, news, 8), 1);
-    assert_int_equal(wp_fleet_tell_kept(x.d.fleet, news, 8), 0);
-    wp_fleet_hear_kept(y.d.fleet, y.now, &news[0]);
+    wp_fleet_request_sent(x.d.fleet, a, x.now, &w, 0);
+    assert_int_equal(wp_fleet_take_unsent_prefixes(x.d.fleet, news, 8), 1);
+    assert_int_equal(wp_fleet_take_unsent_prefixes(x.d.fleet, news, 8), 0);
+    wp_fleet_merge_cached_prefix(y.d.fleet, y.now, &news[0]);
     const WPReplica *b = wp_fleet_find(y.d.fleet, "l1");
-    assert_int_equal(wp_kept_tokens(b->kept, y.now, 7, &p), 9000);
+    assert_int_equal(wp_prefix_cache_match(b->prefix_cache, y.now, 7, &p),
+                     9000);
     news[0].replica++; /* one that is not known here */
-    wp_fleet_hear_kept(y.d.fleet, y.now, &news[0]);
+    wp_fleet_merge_cached_prefix(y.d.fleet, y.now, &news[0]);
     fake_end(&x);
     fake_end(&y);
 }
--- a/tests/test_limit.c
+++ b/tests/test_limit.c
@@ -72,11 +72,11 @@
 
 static void tell_sent(Fake *k, const char *id, double per_s, int64_t sent_us)
 {
-    const WPLimitSeen seen = {
+    const WPLimitReport seen = {
         { per_s > 0 ? WP_LIMIT_NAMED : WP_LIMIT_NONE, per_s }, true, sent_us
     };
-    wp_fleet_told_limit(k->d.fleet, wp_fleet_find(k->d.fleet, id), k->now,
-                        &seen);
+    wp_fleet_record_limit(k->d.fleet, wp_fleet_find(k->d.fleet, id), k->now,
+                          &seen);
 }
 
 static void tell(Fake *k, const char *id, double per_s)
@@ -124,7 +124,7 @@
     (void)state;
     fake_init(&k);
     tell(&k, "a1", LIMIT);
-    wp_fleet_find(k.d.fleet, "a1")->slowness = 5;
+    wp_fleet_find(k.d.fleet, "a1")->latency_ratio = 5;
     assert_in_range(ask_for(&k, 10000, "a1"), 18, 23);
     fake_end(&k);
 }
@@ -210,8 +210,8 @@
     const WPReplica *s = wp_fleet_find(k.d.fleet, "a1");
     int64_t before_us = k.now.mono_us;
     fake_pass(&k, 100);
-    const WPLimitNews n = { s->life_hash, LIMIT, 5, 99 };
-    assert_non_null(wp_fleet_hear_limit(k.d.fleet, k.now, &n));
+    const WPLimitUpdate n = { s->incarnation_hash, LIMIT, 5, 99 };
+    assert_non_null(wp_fleet_merge_limit(k.d.fleet, k.now, &n));
     tell_sent(&k, "a1", 0, before_us);
     assert_true(wp_fleet_limit_of(s) == LIMIT);
     tell_sent(&k, "a1", 8, before_us);
@@ -226,22 +226,22 @@
 
 static void what_is_no_limit_ends_the_one_before(void **state)
 {
-    const WPLimitSeen bad = { { WP_LIMIT_BAD, 0 }, true, INT64_MAX };
-    const WPLimitSeen forged = { { WP_LIMIT_NONE, 0 }, false, INT64_MAX };
+    const WPLimitReport bad = { { WP_LIMIT_BAD, 0 }, true, INT64_MAX };
+    const WPLimitReport forged = { { WP_LIMIT_NONE, 0 }, false, INT64_MAX };
     Fake k;
     (void)state;
     fake_init(&k);
     WPReplica *s = wp_fleet_find(k.d.fleet, "a1");
-    assert_int_equal(wp_fleet_told_limit(k.d.fleet, s, k.now, &bad),
-                     WP_LIMIT_ODD);
-    assert_int_equal(wp_fleet_told_limit(k.d.fleet, s, k.now, &bad),
-                     WP_LIMIT_SAME);
+    assert_int_equal(wp_fleet_record_limit(k.d.fleet, s, k.now, &bad),
+                     WP_LIMIT_REPORT_INVALID);
+    assert_int_equal(wp_fleet_record_limit(k.d.fleet, s, k.now, &bad),
+                     WP_LIMIT_UNCHANGED);
     tell(&k, "a1", LIMIT);
     /* An answer without the endpoint's mark ends nothing. */
-    assert_int_equal(wp_fleet_told_limit(k.d.fleet, s, k.now, &forged),
-                     WP_LIMIT_SAME);
+    assert_int_equal(wp_fleet_record_limit(k.d.fleet, s, k.now, &forged),
+                     WP_LIMIT_UNCHANGED);
     assert_true(wp_fleet_limit_of(s) == LIMIT);
-    assert_int_equal(wp_fleet_told_limit(k.d.fleet, s, k.now, &bad),
+    assert_int_equal(wp_fleet_record_limit(k.d.fleet, s, k.now, &bad),
                      WP_LIMIT_CHANGED);
     assert_true(wp_fleet_limit_of(s) == 0);
     fake_end(&k);
@@ -286,8 +286,8 @@
     Fake k;
     (void)state;
     fake_init(&k);
-    const WPLimitNews n = { wp_hash(wp_str("a3"), 0), LIMIT, 3, 9 };
-    assert_null(wp_fleet_hear_limit(k.d.fleet, k.now, &n));
+    const WPLimitUpdate n = { wp_hash(wp_str("a3"), 0), LIMIT, 3, 9 };
+    assert_null(wp_fleet_merge_limit(k.d.fleet, k.now, &n));
     fake_put(&k, "a3", "app", "v1", false);
     assert_true(wp_fleet_limit_of(wp_fleet_find(k.d.fleet, "a3")) == LIMIT);
     fake_end(&k);
@@ -296,7 +296,7 @@
 /* Two boxes that pass on what is new to them fall silent. */
 static void news_of_limits_comes_to_rest(void **state)
 {
-    WPLimitNews n[4];
+    WPLimitUpdate n[4];
     Fake a, b;
     (void)state;
     fake_init(&a);
@@ -307,14 +307,14 @@
     tell(&b, "a1", 3); /* at the same time: one of them holds at both */
     unsigned rounds = 0;
     for (; rounds < 10; rounds++) {
-        size_t from_a = wp_fleet_tell_limits(a.d.fleet, a.now, n, 4);
+        size_t from_a = wp_fleet_take_unsent_limits(a.d.fleet, a.now, n, 4);
         for (size_t i = 0; i < from_a; i++)
-            wp_fleet_hear_limit(b.d.fleet, b.now, &n[i]);
-        size_t from_b = wp_fleet_tell_limits(b.d.fleet, b.now, n, 4);
+            wp_fleet_merge_limit(b.d.fleet, b.now, &n[i]);
+        size_t from_b = wp_fleet_take_unsent_limits(b.d.fleet, b.now, n, 4);
         for (size_t i = 0; i < from_b; i++)
-            wp_fleet_hear_limit(a.d.fleet, a.now, &n[i]);
-        if (!from_a && !from_b && !wp_fleet_any_untold_limit(a.d.fleet) &&
-            !wp_fleet_any_untold_limit(b.d.fleet))
+            wp_fleet_merge_limit(a.d.fleet, a.now, &n[i]);
+        if (!from_a && !from_b && !wp_fleet_has_unsent_limits(a.d.fleet) &&
+            !wp_fleet_has_unsent_limits(b.d.fleet))
             break;
         fake_pass(&a, 300);
         fake_pass(&b, 300);
@@ -368,7 +368,7 @@
         wp_flow_free(f);
         fake_pass(&k, ASK_EVERY_MS);
     }
-    assert_in_range(s->said.limit->sent, 5, 10);
+    assert_in_range(s->reported.limit->sent, 5, 10);
     fake_end(&k);
 }
 
--- a/tests/test_lives.c
+++ b/tests/test_lives.c
@@ -22,9 +22,9 @@
 {
     WPListing leaving = first_life;
     WPReplica *s = put(k, &first_life);
-    wp_fleet_load(s, k->now, 7, 5, 8);
-    wp_fleet_ended(s, k->now, WP_SERVED_SILENT);
-    wp_kept_hear(s->kept, k->now, 77, 500);
+    wp_fleet_set_load(s, k->now, 7, 5, 8);
+    wp_fleet_request_ended(s, k->now, WP_OUTCOME_NO_RESPONSE);
+    wp_prefix_cache_add_key(s->prefix_cache, k->now, 77, 500);
     leaving.draining = true;
     return put(k, &leaving);
 }
@@ -35,22 +35,22 @@
     Fake k;
     (void)state;
     fake_init(&k);
-    WPReplica *had = wp_fleet_hold(put_known(&k));
+    WPReplica *had = wp_replica_ref(put_known(&k));
     second.born_ms += 30000;
     assert_true(wp_fleet_put(k.d.fleet, k.now, &second));
     WPReplica *s = wp_fleet_find(k.d.fleet, "e1");
     assert_ptr_not_equal(s, had);
     assert_true(had->gone);
-    assert_false(s->said.leaving.from);
-    assert_int_equal(s->said.load_us, 0);
-    assert_int_equal(s->failures, 0);
+    assert_false(s->reported.leaving.from);
+    assert_int_equal(s->reported.load_us, 0);
+    assert_int_equal(s->consecutive_failures, 0);
     assert_int_equal(s->avoid_until_us, 0);
-    assert_int_equal(wp_kept_size(s->kept), 0);
-    assert_true(s->life_hash != had->life_hash);
+    assert_int_equal(wp_prefix_cache_size(s->prefix_cache), 0);
+    assert_true(s->incarnation_hash != had->incarnation_hash);
     /* A request of the life before ends there and counts for nothing here. */
-    wp_fleet_ended(had, k.now, WP_SERVED_BROKEN);
-    wp_fleet_release(had);
-    assert_int_equal(s->failures, 0);
+    wp_fleet_request_ended(had, k.now, WP_OUTCOME_STREAM_BROKEN);
+    wp_replica_unref(had);
+    assert_int_equal(s->consecutive_failures, 0);
     fake_end(&k);
 }
 
@@ -66,8 +66,8 @@
     late.cold_left_ms = 60000;
     assert_false(wp_fleet_put(k.d.fleet, k.now, &late));
     assert_ptr_equal(wp_fleet_find(k.d.fleet, "e1"), s);
-    assert_false(s->said.leaving.from);
-    assert_true(s->said.cold_until_us <= k.now.mono_us);
+    assert_false(s->reported.leaving.from);
+    assert_true(s->reported.cold_until_us <= k.now.mono_us);
     fake_end(&k);
 }
 
@@ -79,9 +79,9 @@
     (void)state;
     fake_init(&k);
     l.born_ms = 0;
-    WPReplica *had = wp_fleet_hold(put(&k, &l));
+    WPReplica *had = wp_replica_ref(put(&k, &l));
     assert_ptr_not_equal(put(&k, &first_life), had);
-    wp_fleet_release(had);
+    wp_replica_unref(had);
     had = wp_fleet_find(k.d.fleet, "e1");
     assert_ptr_equal(put(&k, &l), had); /* told no more */
     fake_end(&k);
@@ -97,12 +97,12 @@
     l.born_ms = 0;
     WPReplica *had = put(&k, &l);
     assert_ptr_equal(put(&k, &l), had);
-    wp_fleet_hold(had);
+    wp_replica_ref(had);
     l.addr = "10.0.0.2:80";
     assert_ptr_not_equal(put(&k, &l), had);
     assert_string_equal(wp_fleet_find(k.d.fleet, "e1")->addr, "10.0.0.2:80");
     assert_true(had->gone);
-    wp_fleet_release(had);
+    wp_replica_unref(had);
     fake_end(&k);
 }
 
@@ -113,15 +113,15 @@
     Fake k;
     (void)state;
     fake_init(&k);
-    uint64_t before = put(&k, &first_life)->life_hash;
+    uint64_t before = put(&k, &first_life)->incarnation_hash;
     second.born_ms += 30000;
     WPReplica *s = put(&k, &second);
     assert_null(wp_fleet_by_hash(k.d.fleet, before));
-    assert_ptr_equal(wp_fleet_by_hash(k.d.fleet, s->life_hash), s);
+    assert_ptr_equal(wp_fleet_by_hash(k.d.fleet, s->incarnation_hash), s);
     assert_ptr_equal(wp_fleet_by_hash(k.d.fleet, s->id_hash), s);
-    const WPKeptNews kept = { before, 77, 500 };
-    wp_fleet_hear_kept(k.d.fleet, k.now, &kept);
-    assert_int_equal(wp_kept_size(s->kept), 0);
+    const WPCachedPrefixUpdate kept = { before, 77, 500 };
+    wp_fleet_merge_cached_prefix(k.d.fleet, k.now, &kept);
+    assert_int_equal(wp_prefix_cache_size(s->prefix_cache), 0);
     fake_end(&k);
 }
 
@@ -153,15 +153,15 @@
     (void)state;
     fake_init(&k);
     put_in_zone(&k, "far", "z2");
-    assert_true(wp_fleet_set_zone_out(k.d.fleet, k.now, "z1", true));
-    assert_false(wp_fleet_set_zone_out(k.d.fleet, k.now, "z1", true));
+    assert_true(wp_fleet_set_zone_evacuated(k.d.fleet, k.now, "z1", true));
+    assert_false(wp_fleet_set_zone_evacuated(k.d.fleet, k.now, "z1", true));
     put_in_zone(&k, "late", "z1"); /* listed meanwhile */
     for (int i = 0; i < 50; i++)
         assert_string_equal(chosen(&k, "/safe/x"), "far");
     /* A zone that nobody knows keeps nothing out. */
-    assert_true(wp_fleet_set_zone_out(k.d.fleet, k.now, "z9", true));
+    assert_true(wp_fleet_set_zone_evacuated(k.d.fleet, k.now, "z9", true));
     assert_string_equal(chosen(&k, "/safe/x"), "far");
-    assert_true(wp_fleet_set_zone_out(k.d.fleet, k.now, "z1", false));
+    assert_true(wp_fleet_set_zone_evacuated(k.d.fleet, k.now, "z1", false));
     unsigned near = 0;
     for (int i = 0; i < 50; i++)
         near += strcmp(chosen(&k, "/safe/x"), "far") != 0;
@@ -175,7 +175,7 @@
     Fake k;
     (void)state;
     fake_init(&k);
-    wp_fleet_set_zone_out(k.d.fleet, k.now, "z1", true);
+    wp_fleet_set_zone_evacuated(k.d.fleet, k.now, "z1", true);
     WPFlow *f = fake_ask(&k, "/safe/x", NULL, &m);
     assert_int_equal(m.kind, WP_MOVE_FAIL);
     assert_int_equal(m.code, WP_NO_ENDPOINT);
@@ -195,7 +195,7 @@
     put_in_zone(&k, "far", "z2");
     WPFlow *f = fake_ask(&k, "/safe/x", NULL, &m);
     while (strcmp(m.replica->id, "far")) { /* begun before the order */
-        wp_fleet_set_zone_out(k.d.fleet, k.now, "z1", true);
+        wp_fleet_set_zone_evacuated(k.d.fleet, k.now, "z1", true);
         wp_flow_lost(f, k.now, WP_LOSS_BROKEN, &m);
         assert_int_equal(m.kind, WP_MOVE_SEND);
     }
--- a/tests/test_loaded.c
+++ b/tests/test_loaded.c
@@ -6,12 +6,12 @@
 {
     const WPReplica *s = wp_fleet_find(k->d.fleet, "l1");
     for (unsigned i = 0; i < n; i++)
-        wp_fleet_learn(k->d.fleet, k->now, s, taken, i < failed);
+        wp_fleet_record_answer(k->d.fleet, k->now, s, taken, i < failed);
 }
 
 static bool is_found(Fake *k)
 {
-    return wp_fleet_fails_loaded(k->d.fleet, k->now, "llm", "v1");
+    return wp_fleet_fails_under_load(k->d.fleet, k->now, "llm", "v1");
 }
 
 static void a_few_failures_under_load_are_enough(void **state)
@@ -55,7 +55,7 @@
 static void loaded_endpoints_are_passed_over(void **state)
 {
     Fake k;
-    WPWant w = { .service = "llm", .zone = "z1" };
+    WPEndpointQuery w = { .service = "llm", .zone = "z1" };
     unsigned full = 0;
     (void)state;
     fake_init(&k);
@@ -68,13 +68,13 @@
                       .slots = 8 };
     wp_fleet_put(k.d.fleet, k.now, &far);
     wp_fleet_remove(k.d.fleet, k.now, "l2", false);
-    wp_fleet_load(wp_fleet_find(k.d.fleet, "l1"), k.now, 4, 0, 8);
-    wp_fleet_load(wp_fleet_find(k.d.fleet, "l3"), k.now, 2, 0, 8);
+    wp_fleet_set_load(wp_fleet_find(k.d.fleet, "l1"), k.now, 4, 0, 8);
+    wp_fleet_set_load(wp_fleet_find(k.d.fleet, "l3"), k.now, 2, 0, 8);
     for (int round = 0; round < 2; round++) {
         for (int i = 0; i < 20; i++) {
             WPReplica *s = wp_fleet_choose(k.d.fleet, k.now, &w);
             full += !strcmp(s->id, "l1");
-            wp_fleet_release(s);
+            wp_replica_unref(s);
         }
         assert_int_equal(full, 20);
         learn(&k, 0.5, 8, 4);
@@ -90,8 +90,8 @@
         WPMove m;
         WPDirectAnswer a = fake_answer(200, 5);
         fake_init(&k);
-        wp_fleet_load(wp_fleet_find(k.d.fleet, "l1"), k.now, 3, 0, 8);
-        wp_fleet_load(wp_fleet_find(k.d.fleet, "l2"), k.now, 3, 0, 8);
+        wp_fleet_set_load(wp_fleet_find(k.d.fleet, "l1"), k.now, 3, 0, 8);
+        wp_fleet_set_load(wp_fleet_find(k.d.fleet, "l2"), k.now, 3, 0, 8);
         if (found)
             learn(&k, 0.5, 8, 4);
         WPFlow *f = fake_ask(&k, "/chat/x", NULL, &m);
@@ -116,12 +116,12 @@
     unsigned n = 0;
     (void)state;
     fake_init(&k);
-    wp_fleet_hear_loaded(k.d.fleet, k.now, "llm", "v1");
+    wp_fleet_merge_fails_under_load(k.d.fleet, k.now, "llm", "v1");
     assert_true(is_found(&k));
-    wp_fleet_each_loaded(k.d.fleet, k.now, count, &n);
+    wp_fleet_each_failing_under_load(k.d.fleet, k.now, count, &n);
     assert_int_equal(n, 0);
     learn(&k, 0.5, 8, 4);
-    wp_fleet_each_loaded(k.d.fleet, k.now, count, &n);
+    wp_fleet_each_failing_under_load(k.d.fleet, k.now, count, &n);
     assert_int_equal(n, 1);
     fake_end(&k);
 }
@@ -136,8 +136,8 @@
     for (int i = 0; i < 6; i++) {
         WPMove m;
         WPDirectAnswer a = fake_answer(500, -1);
-        wp_fleet_load(wp_fleet_find(k.d.fleet, "l1"), k.now, 5, 0, 8);
-        wp_fleet_load(wp_fleet_find(k.d.fleet, "l2"), k.now, 5, 0, 8);
+        wp_fleet_set_load(wp_fleet_find(k.d.fleet, "l1"), k.now, 5, 0, 8);
+        wp_fleet_set_load(wp_fleet_find(k.d.fleet, "l2"), k.now, 5, 0, 8);
         WPFlow *f = fake_ask(&k, "/chat/x", NULL, &m);
         wp_flow_answer(f, k.now, &a, &m);
         /* Known with the answer: the request itself goes on for seconds. */
@@ -162,7 +162,7 @@
     fake_init(&k);
     wp_fleet_remove(k.d.fleet, k.now, "l2", false);
     learn(&k, 0.1, 100, 0);
-    wp_fleet_load(wp_fleet_find(k.d.fleet, "l1"), k.now, 5, 0, 8);
+    wp_fleet_set_load(wp_fleet_find(k.d.fleet, "l1"), k.now, 5, 0, 8);
     for (int i = 0; i < AT_ONCE; i++) {
         f[i] = fake_ask(&k, "/chat/x", NULL, &m);
         assert_int_equal(m.kind, WP_MOVE_SEND);
--- a/tests/test_mirror.c
+++ b/tests/test_mirror.c
@@ -237,8 +237,8 @@
 
 static unsigned app_endpoints(Fake *k)
 {
-    WPWant w = { .service = "app", .zone = "z1" };
-    return wp_fleet_count(k->d.fleet, &w);
+    WPEndpointQuery w = { .service = "app", .zone = "z1" };
+    return wp_fleet_count_eligible(k->d.fleet, &w);
 }
 
 /* While the store was away its list may lose entries of endpoints that live:
@@ -265,26 +265,26 @@
 static void a_failing_endpoint_is_avoided_and_tried_again(void **state)
 {
     Fake k;
-    WPWant w = { .service = "app", .zone = "z1" };
+    WPEndpointQuery w = { .service = "app", .zone = "z1" };
     unsigned bad = 0;
     (void)state;
     fake_init(&k);
     WPReplica *a1 = wp_fleet_find(k.d.fleet, "a1");
     for (int i = 0; i < 4; i++) {
-        wp_fleet_sent(k.d.fleet, a1, k.now, &w, 0);
-        wp_fleet_ended(a1, k.now, WP_SERVED_SILENT);
+        wp_fleet_request_sent(k.d.fleet, a1, k.now, &w, 0);
+        wp_fleet_request_ended(a1, k.now, WP_OUTCOME_NO_RESPONSE);
     }
     for (int i = 0; i < 100; i++) {
         WPReplica *s = wp_fleet_choose(k.d.fleet, k.now, &w);
         bad += s == a1;
-        wp_fleet_release(s);
+        wp_replica_unref(s);
     }
     assert_int_equal(bad, 0);
     fake_pass(&k, 20000);
     for (int i = 0; i < 100; i++) {
         WPReplica *s = wp_fleet_choose(k.d.fleet, k.now, &w);
         bad += s == a1;
-        wp_fleet_release(s);
+        wp_replica_unref(s);
     }
     assert_true(bad > 10);
     fake_end(&k);
@@ -299,20 +299,20 @@
                       .zone = "z2",
                       .version = "v1",
                       .slots = 8 };
-    WPWant w = { .service = "app", .zone = "z1" };
+    WPEndpointQuery w = { .service = "app", .zone = "z1" };
     (void)state;
     fake_init(&k);
     wp_fleet_put(k.d.fleet, k.now, &far);
     for (int i = 0; i < 100; i++) {
         WPReplica *s = wp_fleet_choose(k.d.fleet, k.now, &w);
         assert_string_equal(s->zone, "z1");
-        wp_fleet_release(s);
+        wp_replica_unref(s);
     }
-    wp_fleet_load(wp_fleet_find(k.d.fleet, "a1"), k.now, 8, 4, 8);
-    wp_fleet_load(wp_fleet_find(k.d.fleet, "a2"), k.now, 8, 4, 8);
+    wp_fleet_set_load(wp_fleet_find(k.d.fleet, "a1"), k.now, 8, 4, 8);
+    wp_fleet_set_load(wp_fleet_find(k.d.fleet, "a2"), k.now, 8, 4, 8);
     WPReplica *s = wp_fleet_choose(k.d.fleet, k.now, &w);
     assert_string_equal(s->id, "a9");
-    wp_fleet_release(s);
+    wp_replica_unref(s);
     fake_end(&k);
 }
 
--- a/tests/test_notice.c
+++ b/tests/test_notice.c
@@ -172,7 +172,7 @@
     fake_init(&k);
     wrong.wrong = wrong.not_run = true;
     const char *id = answered(&k, "/safe/x", &wrong);
-    assert_false(wp_fleet_find(k.d.fleet, id)->said.leaving.from);
+    assert_false(wp_fleet_find(k.d.fleet, id)->reported.leaving.from);
     fake_end(&k);
 }
 
@@ -243,7 +243,7 @@
 static void fill_the_other(Fake *k, const char *id)
 {
     const char *other = strcmp(id, "a1") ? "a1" : "a2";
-    wp_fleet_load(wp_fleet_find(k->d.fleet, other), k->now, 7, 0, 8);
+    wp_fleet_set_load(wp_fleet_find(k->d.fleet, other), k->now, 7, 0, 8);
 }
 
 static void an_earlier_request_does_not_end_a_rest(void **state)
@@ -336,22 +336,25 @@
    the others as well. Boxes tell it once. */
 static void a_rest_of_another_box_weighs(void **state)
 {
-    WPRestNews n[4];
+    WPBackoffUpdate n[4];
     Fake a, b;
     (void)state;
     fake_init(&a);
     fake_init(&b);
-    wp_fleet_told_rest(a.d.fleet, wp_fleet_find(a.d.fleet, "a1"), a.now, 3);
-    wp_fleet_told_rest(a.d.fleet, wp_fleet_find(a.d.fleet, "a1"), a.now, 3.1);
-    assert_int_equal(wp_fleet_tell_rests(a.d.fleet, a.now, n, 4), 1);
+    wp_fleet_record_backoff(a.d.fleet, wp_fleet_find(a.d.fleet, "a1"), a.now,
+                            3);
+    wp_fleet_record_backoff(a.d.fleet, wp_fleet_find(a.d.fleet, "a1"), a.now,
+                            3.1);
+    assert_int_equal(wp_fleet_take_unsent_backoffs(a.d.fleet, a.now, n, 4), 1);
     assert_in_range(n[0].left_ms, 2999, 3000);
-    wp_fleet_hear_rest(b.d.fleet, b.now, &n[0]);
+    wp_fleet_merge_backoff(b.d.fleet, b.now, &n[0]);
     assert_false(goes_to(&b, "/safe/x", "a1", 100));
-    assert_false(wp_fleet_any_untold_rest(b.d.fleet));
-    wp_fleet_told_rest(b.d.fleet, wp_fleet_find(b.d.fleet, "a1"), b.now, 1);
-    assert_false(wp_fleet_any_untold_rest(b.d.fleet)); /* all know it */
+    assert_false(wp_fleet_has_unsent_backoffs(b.d.fleet));
+    wp_fleet_record_backoff(b.d.fleet, wp_fleet_find(b.d.fleet, "a1"), b.now,
+                            1);
+    assert_false(wp_fleet_has_unsent_backoffs(b.d.fleet)); /* all know it */
     fake_pass(&b, 1000);
-    wp_fleet_told_leaving(b.d.fleet, wp_fleet_find(b.d.fleet, "a2"), b.now);
+    wp_fleet_record_draining(b.d.fleet, wp_fleet_find(b.d.fleet, "a2"), b.now);
     assert_true(goes_to(&b, "/safe/x", "a1", 1)); /* the only one */
     fake_end(&a);
     fake_end(&b);
@@ -383,41 +386,41 @@
     answered(&k, "/safe/x", &full);
     answered(&k, "/safe/x", &own);
     const WPNoticeCount n = wp_fleet_count_notices(k.d.fleet, k.now);
-    assert_int_equal(n.resting, 0);
+    assert_int_equal(n.backing_off, 0);
     fake_end(&k);
 }
 
 /* One word beside another: the longer one holds. */
 static void words_hold_beside_each_other(void **state)
 {
-    const WPLimitSeen limit = { { WP_LIMIT_NAMED, 0.1 }, true, INT64_MAX };
-    WPWant w = { .service = "app", .zone = "z1" };
+    const WPLimitReport limit = { { WP_LIMIT_NAMED, 0.1 }, true, INT64_MAX };
+    WPEndpointQuery w = { .service = "app", .zone = "z1" };
     Fake k;
     (void)state;
     fake_init(&k);
     WPFleet *f = k.d.fleet;
     WPReplica *s = wp_fleet_find(f, "a1");
-    wp_fleet_told_limit(f, s, k.now, &limit);
-    wp_fleet_sent(f, s, k.now, &w, 0);
-    assert_int_equal(wp_fleet_bar(f, k.now, &w, s), WP_BAR_LIMIT);
-    wp_fleet_set_cold(f, "app", 0.1, 0);
-    s->said.cold_until_us = k.now.mono_us + 5 * WP_US_PER_S;
-    assert_int_equal(wp_fleet_bar(f, k.now, &w, s), WP_BAR_COLD);
-    assert_true(wp_fleet_told_rest(f, s, k.now, 2));
-    assert_false(wp_fleet_told_rest(f, s, k.now, 1));
-    assert_int_equal(wp_fleet_bar(f, k.now, &w, s), WP_BAR_REST);
+    wp_fleet_record_limit(f, s, k.now, &limit);
+    wp_fleet_request_sent(f, s, k.now, &w, 0);
+    assert_int_equal(wp_fleet_exclusion(f, k.now, &w, s), WP_EXCLUDED_LIMIT);
+    wp_fleet_set_cold_rule(f, "app", 0.1, 0);
+    s->reported.cold_until_us = k.now.mono_us + 5 * WP_US_PER_S;
+    assert_int_equal(wp_fleet_exclusion(f, k.now, &w, s), WP_EXCLUDED_COLD);
+    assert_true(wp_fleet_record_backoff(f, s, k.now, 2));
+    assert_false(wp_fleet_record_backoff(f, s, k.now, 1));
+    assert_int_equal(wp_fleet_exclusion(f, k.now, &w, s), WP_EXCLUDED_BACKOFF);
     fake_pass(&k, 2001);
-    wp_fleet_sent(f, s, k.now, &w, 0);
-    assert_int_equal(wp_fleet_bar(f, k.now, &w, s), WP_BAR_COLD);
+    wp_fleet_request_sent(f, s, k.now, &w, 0);
+    assert_int_equal(wp_fleet_exclusion(f, k.now, &w, s), WP_EXCLUDED_COLD);
     fake_pass(&k, 3000);
-    assert_int_equal(wp_fleet_bar(f, k.now, &w, s), WP_BAR_LIMIT);
-    wp_fleet_told_rest(f, s, k.now, 2);
-    assert_true(wp_fleet_told_leaving(f, s, k.now));
-    assert_int_equal(wp_fleet_bar(f, k.now, &w, s), WP_BAR_LEAVING);
-    wp_fleet_set_zone_out(f, k.now, "z1", true);
-    assert_int_equal(wp_fleet_bar(f, k.now, &w, s), WP_BAR_ZONE_OUT);
-    wp_fleet_set_zone_out(f, k.now, "z1", false);
-    assert_int_equal(wp_fleet_bar(f, k.now, &w, s), WP_BAR_LEAVING);
+    assert_int_equal(wp_fleet_exclusion(f, k.now, &w, s), WP_EXCLUDED_LIMIT);
+    wp_fleet_record_backoff(f, s, k.now, 2);
+    assert_true(wp_fleet_record_draining(f, s, k.now));
+    assert_int_equal(wp_fleet_exclusion(f, k.now, &w, s), WP_EXCLUDED_DRAINING);
+    wp_fleet_set_zone_evacuated(f, k.now, "z1", true);
+    assert_int_equal(wp_fleet_exclusion(f, k.now, &w, s), WP_EXCLUDED_ZONE);
+    wp_fleet_set_zone_evacuated(f, k.now, "z1", false);
+    assert_int_equal(wp_fleet_exclusion(f, k.now, &w, s), WP_EXCLUDED_DRAINING);
     fake_end(&k);
 }
 
@@ -432,8 +435,10 @@
     fake_init(&k);
     WPShift *sh = order(&k);
     look_on(&k, sh, LEAD_MS);
-    wp_fleet_told_rest(k.d.fleet, wp_fleet_find(k.d.fleet, "l1"), k.now, 60);
-    wp_fleet_told_rest(k.d.fleet, wp_fleet_find(k.d.fleet, "l2"), k.now, 60);
+    wp_fleet_record_backoff(k.d.fleet, wp_fleet_find(k.d.fleet, "l1"), k.now,
+                            60);
+    wp_fleet_record_backoff(k.d.fleet, wp_fleet_find(k.d.fleet, "l2"), k.now,
+                            60);
     for (int i = 0; i < 300; i++) {
         const char *what = fake_serve(&k, "/chat/x", &m);
         to_new += what[0] == 'n';
@@ -479,15 +484,15 @@
     fake_init(&a);
     fake_init(&b);
     WPReplica *s = wp_fleet_find(a.d.fleet, "a1");
-    assert_true(wp_fleet_told_leaving(a.d.fleet, s, a.now));
-    assert_false(wp_fleet_told_leaving(a.d.fleet, s, a.now));
-    assert_int_equal(wp_fleet_tell_leaving(a.d.fleet, lives, 4), 1);
-    assert_int_equal(wp_fleet_tell_leaving(a.d.fleet, lives, 4), 0);
-    assert_non_null(wp_fleet_hear_leaving(b.d.fleet, b.now, lives[0]));
+    assert_true(wp_fleet_record_draining(a.d.fleet, s, a.now));
+    assert_false(wp_fleet_record_draining(a.d.fleet, s, a.now));
+    assert_int_equal(wp_fleet_take_unsent_draining(a.d.fleet, lives, 4), 1);
+    assert_int_equal(wp_fleet_take_unsent_draining(a.d.fleet, lives, 4), 0);
+    assert_non_null(wp_fleet_merge_draining(b.d.fleet, b.now, lives[0]));
     assert_false(goes_to(&b, "/safe/x", "a1", 50));
-    assert_int_equal(wp_fleet_tell_leaving(b.d.fleet, lives, 4), 1);
-    assert_null(wp_fleet_hear_leaving(a.d.fleet, a.now, lives[0]));
-    assert_false(wp_fleet_any_untold_leaving(a.d.fleet));
+    assert_int_equal(wp_fleet_take_unsent_draining(b.d.fleet, lives, 4), 1);
+    assert_null(wp_fleet_merge_draining(a.d.fleet, a.now, lives[0]));
+    assert_false(wp_fleet_has_unsent_draining(a.d.fleet));
     fake_end(&a);
     fake_end(&b);
 }
@@ -498,8 +503,8 @@
     (void)state;
     fake_init(&k);
     WPFleet *f = k.d.fleet;
-    wp_fleet_told_leaving(f, wp_fleet_find(f, "a1"), k.now);
-    wp_fleet_told_rest(f, wp_fleet_find(f, "a2"), k.now, 60);
+    wp_fleet_record_draining(f, wp_fleet_find(f, "a1"), k.now);
+    wp_fleet_record_backoff(f, wp_fleet_find(f, "a2"), k.now, 60);
     wp_fleet_remove(f, k.now, "a1", false);
     wp_fleet_remove(f, k.now, "a2", true);
     fake_pass(&k, 5000);
@@ -550,7 +555,7 @@
     fake_init(&k);
     WPFleet *f = k.d.fleet;
     fake_put(&k, "a1", "app", "v1", true);
-    assert_false(wp_fleet_told_leaving(f, wp_fleet_find(f, "a1"), k.now));
+    assert_false(wp_fleet_record_draining(f, wp_fleet_find(f, "a1"), k.now));
     wp_fleet_remove(f, k.now, "a1", false);
     fake_put(&k, "a1", "app", "v1", false);
     assert_false(goes_to(&k, "/safe/x", "a1", 50));
@@ -582,7 +587,7 @@
     }
     assert_in_range(reported, 2, 4); /* of two endpoints, in 10 s */
     const WPNoticeCount n = wp_fleet_count_notices(k.d.fleet, k.now);
-    assert_int_equal(n.leaving + n.resting, 0);
+    assert_int_equal(n.draining + n.backing_off, 0);
     fake_end(&k);
 }
 
--- a/tests/test_pace.c
+++ b/tests/test_pace.c
@@ -122,9 +122,9 @@
     fake_init(k);
     k->d.rules.fleet.cold_overshoot = 1.5;
     k->d.rules.fleet.cold_slack = 5;
-    wp_fleet_rules(k->d.fleet, &k->d.rules.fleet);
+    wp_fleet_set_rules(k->d.fleet, &k->d.rules.fleet);
     wp_fleet_set_boxes(k->d.fleet, &self, NULL, 0, 8);
-    wp_fleet_set_cold(k->d.fleet, "llm", 18, 3);
+    wp_fleet_set_cold_rule(k->d.fleet, "llm", 18, 3);
     wp_fleet_remove(k->d.fleet, k->now, "l2", false);
     fake_pass(k, WP_PACE_WINDOW_MS);
     wp_fleet_put(k->d.fleet, k->now, &cold_listing);
@@ -135,7 +135,7 @@
 static WPReplica *begin_warm(Fake *k)
 {
     WPReplica *s = begin(k);
-    s->said.cold_until_us = 0;
+    s->reported.cold_until_us = 0;
     assert_false(wp_fleet_is_cold(s, k->now));
     return s;
 }
@@ -179,8 +179,8 @@
     begin(&k);
     WPFleet *had = k.d.fleet;
     k.d.fleet = wp_fleet_new(1);
-    wp_fleet_rules(k.d.fleet, &k.d.rules.fleet);
-    wp_fleet_set_cold(k.d.fleet, "llm", 18, 3);
+    wp_fleet_set_rules(k.d.fleet, &k.d.rules.fleet);
+    wp_fleet_set_cold_rule(k.d.fleet, "llm", 18, 3);
     wp_fleet_put(k.d.fleet, k.now, &cold_listing);
     assert_string_equal(ask_once(&k, &m), "endpoints_starting");
     assert_in_range(m.retry_ms, 1000, 1200);
@@ -198,7 +198,7 @@
     (void)state;
     begin(&k);
     assert_string_equal(ask_once(&k, &m), "l1");
-    wp_fleet_set_cold(k.d.fleet, "llm", 60, 3);
+    wp_fleet_set_cold_rule(k.d.fleet, "llm", 60, 3);
     for (int i = 0; i < 5; i++)
         assert_string_equal(ask_once(&k, &m), "l1");
     assert_string_equal(ask_once(&k, &m), "endpoints_starting");
@@ -212,7 +212,7 @@
     Fake k;
     (void)state;
     begin(&k);
-    wp_fleet_set_cold(k.d.fleet, "llm", 0, 3);
+    wp_fleet_set_cold_rule(k.d.fleet, "llm", 0, 3);
     for (int i = 0; i < 20; i++)
         assert_string_equal(ask_once(&k, &m), "l1");
     fake_end(&k);
@@ -224,11 +224,11 @@
     Fake k;
     (void)state;
     WPReplica *s = begin_warm(&k);
-    wp_fleet_ended(s, k.now, WP_SERVED_SILENT);
-    wp_fleet_ended(s, k.now, WP_SERVED_SILENT);
+    wp_fleet_request_ended(s, k.now, WP_OUTCOME_NO_RESPONSE);
+    wp_fleet_request_ended(s, k.now, WP_OUTCOME_NO_RESPONSE);
     fake_pass(&k, 10000);
     assert_false(wp_fleet_is_cold(s, k.now));
-    wp_fleet_ended(s, k.now, WP_SERVED_OK);
+    wp_fleet_request_ended(s, k.now, WP_OUTCOME_OK);
     assert_true(wp_fleet_is_cold(s, k.now));
     fake_pass(&k, 3001);
     assert_false(wp_fleet_is_cold(s, k.now));
@@ -241,7 +241,7 @@
     Fake k;
     (void)state;
     WPReplica *s = begin_warm(&k);
-    wp_fleet_idle_lost(s, k.now);
+    wp_fleet_idle_connection_lost(s, k.now);
     assert_true(wp_fleet_is_cold(s, k.now));
     fake_pass(&k, 3001);
     assert_false(wp_fleet_is_cold(s, k.now));
@@ -254,9 +254,9 @@
     Fake k;
     (void)state;
     WPReplica *s = begin_warm(&k);
-    wp_fleet_set_zone_out(k.d.fleet, k.now, "z1", true);
+    wp_fleet_set_zone_evacuated(k.d.fleet, k.now, "z1", true);
     assert_false(wp_fleet_is_cold(s, k.now));
-    wp_fleet_set_zone_out(k.d.fleet, k.now, "z1", false);
+    wp_fleet_set_zone_evacuated(k.d.fleet, k.now, "z1", false);
     assert_true(wp_fleet_is_cold(s, k.now));
     fake_end(&k);
 }
--- a/tests/test_pause.c
+++ b/tests/test_pause.c
@@ -1,6 +1,6 @@
 /* Streams that pause while their engine reads other prompts. */
 #include "direct_fake.h"
-#include "wp_bid.h"
+#include "wp_engine_cost.h"
 
 #define AIM_US 1.2e6
 
@@ -49,12 +49,12 @@
     assert_float_equal(wp_peaks_since(&p, 30 * WP_US_PER_S), 0, 1);
 }
 
-static void learn(WPSpeed *s)
+static void learn(WPTtfbModel *s)
 {
     for (uint32_t i = 0; i < 100; i++) {
         uint32_t tokens = 500 + (i * 7919) % 40000;
-        WPWork w = { .prompt = tokens, .unread = tokens };
-        wp_speed_add(s, &w, (int64_t)(20000 + tokens * 30.0));
+        WPTtfbInputs w = { .prompt_tokens = tokens, .uncached_tokens = tokens };
+        wp_ttfb_add(s, &w, (int64_t)(20000 + tokens * 30.0));
     }
 }
 
@@ -62,31 +62,33 @@
    short one where the home is. */
 static void a_long_prompt_goes_where_few_streams_run(void **state)
 {
-    WPSpeed s = { 0 };
+    WPTtfbModel s = { 0 };
     WPPauses pauses;
     Fake k;
     (void)state;
     fake_init(&k);
     learn(&s);
     wp_pauses_init(&pauses);
-    wp_fleet_load(wp_fleet_find(k.d.fleet, "l1"), k.now, 4, 0, 8);
-    wp_fleet_load(wp_fleet_find(k.d.fleet, "l2"), k.now, 1, 0, 8);
+    wp_fleet_set_load(wp_fleet_find(k.d.fleet, "l1"), k.now, 4, 0, 8);
+    wp_fleet_set_load(wp_fleet_find(k.d.fleet, "l2"), k.now, 1, 0, 8);
     WPReplica *busy = wp_fleet_find(k.d.fleet, "l1");
     WPReplica *calm = wp_fleet_find(k.d.fleet, "l2");
     for (uint32_t tokens = 2000; tokens <= 50000; tokens += 48000) {
         const WPPrompt p = { .tokens = tokens };
-        const WPWant w = { .service = "llm",
-                           .zone = "z1",
-                           .prompt = &p,
-                           .speed = &s,
-                           .second = 1,
-                           .pauses = &pauses,
-                           .pause_us = AIM_US,
-                           .pause_weight = 0.1 };
+        const WPEndpointQuery w = { .service = "llm",
+                                    .zone = "z1",
+                                    .prompt = &p,
+                                    .ttfb = &s,
+                                    .ttfb_weight = 1,
+                                    .stalls = &pauses,
+                                    .max_stall_us = AIM_US,
+                                    .stall_weight = 0.1 };
         uint32_t own[2] = { 0 };
-        WPKeepers keepers = { .own = own };
-        double a = wp_bid(&k.d.rules.fleet, k.now, &w, busy, 0, &keepers).cost;
-        double b = wp_bid(&k.d.rules.fleet, k.now, &w, calm, 0, &keepers).cost;
+        WPCacheHolders keepers = { .cached_tokens = own };
+        double a =
+            wp_engine_cost(&k.d.rules.fleet, k.now, &w, busy, 0, &keepers).cost;
+        double b =
+            wp_engine_cost(&k.d.rules.fleet, k.now, &w, calm, 0, &keepers).cost;
         if (tokens < 40000)
             assert_float_equal(a, b, 0.01);
         else
--- a/tests/test_placing.c
+++ b/tests/test_placing.c
@@ -39,7 +39,7 @@
     Engine engines[ENGINES];
     Ask asks[ASKS_MOST];
     unsigned n, begun, late, lost;
-    WPSpeed speed;
+    WPTtfbModel speed;
     GRand *rand;
     int64_t ms;
 } Play;
@@ -59,23 +59,24 @@
 
 static void play_init(Play *p, bool told, uint32_t seed)
 {
-    static const WPFleetRules rules = { .own_zone = "z1", .zone_kb = 0.03 };
+    static const WPFleetRules rules = { .own_zone = "z1",
+                                        .zone_weight_per_kb = 0.03 };
     memset(p, 0, sizeof(*p));
     p->rand = g_rand_new_with_seed(seed);
     for (uint32_t i = 0; i < 100; i++) {
         uint32_t tokens = 500 + (i * 7919) % 30000;
-        WPWork w = { .prompt = tokens,
-                     .unread = tokens,
-                     .ahead_us = (i * 37 % 10) * 2e5 };
-        wp_speed_add(&p->speed, &w,
-                     (int64_t)(50000 + tokens * TOKEN_US + w.ahead_us));
+        WPTtfbInputs w = { .prompt_tokens = tokens,
+                           .uncached_tokens = tokens,
+                           .queued_prefill_us = (i * 37 % 10) * 2e5 };
+        wp_ttfb_add(&p->speed, &w,
+                    (int64_t)(50000 + tokens * TOKEN_US + w.queued_prefill_us));
     }
     for (unsigned b = 0; b < BOXES; b++) {
         p->fleets[b] = wp_fleet_new(seed * 100 + b);
-        wp_fleet_rules(p->fleets[b], &rules);
+        wp_fleet_set_rules(p->fleets[b], &rules);
         wp_box_news_init(&p->news[b]);
         if (told)
-            wp_fleet_tell(p->fleets[b], &p->news[b]);
+            wp_fleet_set_updates(p->fleets[b], &p->news[b]);
         for (unsigned e = 0; e < ENGINES; e++) {
             g_autofree char *id = g_strdup_printf("i-%02u", e);
             const WPListing l = { .id = id,
@@ -115,17 +116,17 @@
     a->box = (unsigned)g_rand_int_range(p->rand, 0, BOXES);
     WPFleet *f = p->fleets[a->box];
     const WPPrompt prompt = { .tokens = draw_tokens(p) };
-    const WPWant w = { .service = "llm",
-                       .zone = "z1",
-                       .prompt = &prompt,
-                       .speed = &p->speed,
-                       .second = 1 };
+    const WPEndpointQuery w = { .service = "llm",
+                                .zone = "z1",
+                                .prompt = &prompt,
+                                .ttfb = &p->speed,
+                                .ttfb_weight = 1 };
     a->replica = wp_fleet_choose(f, now_of(p), &w);
     assert_non_null(a->replica);
     a->engine = (unsigned)atoi(a->replica->id + 2);
     a->reading_us = a->left_us = prompt.tokens * TOKEN_US;
     a->sent_ms = p->ms;
-    wp_fleet_sent(f, a->replica, now_of(p), &w, a->reading_us);
+    wp_fleet_request_sent(f, a->replica, now_of(p), &w, a->reading_us);
     g_queue_push_tail(&p->engines[a->engine].waiting, a);
 }
 
@@ -138,9 +139,10 @@
     e->running++;
     p->begun++;
     p->late += took_ms > LATE_MS;
-    wp_fleet_began(f, a->replica, a->reading_us, took_ms * WP_US_PER_MS, 0);
-    wp_fleet_told_load(f, a->replica, now_of(p), e->running,
-                       g_queue_get_length(&e->waiting), SLOTS);
+    wp_fleet_first_byte(f, a->replica, a->reading_us, took_ms * WP_US_PER_MS,
+                        0);
+    wp_fleet_record_load(f, a->replica, now_of(p), e->running,
+                         g_queue_get_length(&e->waiting), SLOTS);
 }
 
 static void work(Play *p, Engine *e)
@@ -166,8 +168,8 @@
             continue;
         a->ended = true;
         p->engines[a->engine].running--;
-        wp_fleet_ended(a->replica, now_of(p), WP_SERVED_OK);
-        wp_fleet_release(a->replica);
+        wp_fleet_request_ended(a->replica, now_of(p), WP_OUTCOME_OK);
+        wp_replica_unref(a->replica);
     }
 }
 
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -266,11 +266,12 @@
     (void)state;
     pf_ops.read_ask(&ha, &x);
     pf_ops.read_ask(&hb, &y);
-    assert_true(wp_prompt_shared(&x.prompt) &&
-                wp_prompt_shared(&x.prompt) == wp_prompt_shared(&y.prompt));
+    assert_true(wp_prompt_shared_hash(&x.prompt) &&
+                wp_prompt_shared_hash(&x.prompt) ==
+                    wp_prompt_shared_hash(&y.prompt));
     ha.n_fields = 1;
     assert_null(pf_ops.read_ask(&ha, &x));
-    assert_int_equal(wp_prompt_shared(&x.prompt), 0);
+    assert_int_equal(wp_prompt_shared_hash(&x.prompt), 0);
     ha.n_fields = 0;
     assert_non_null(pf_ops.read_ask(&ha, &x));
 }
@@ -303,7 +304,7 @@
         WPDirectAsk ask;
         assert_null(pf_ops.read_ask(&h, &ask));
         assert_int_equal(ask.prompt.tokens, 1000);
-        assert_true(ask.prompt.n <= WP_PARTS_MOST);
+        assert_true(ask.prompt.n_parts <= WP_PROMPT_PARTS_MAX);
         assert_true(wp_prompt_shared_tokens(&ask.prompt) <= 1000);
     }
 }
--- a/tests/test_rollout.c
+++ b/tests/test_rollout.c
@@ -42,7 +42,7 @@
     r.seq = ++seq;
     r.n_sums = 1;
     r.sums = sums;
-    wp_quality_take(q, &r, p);
+    wp_quality_update(q, &r, p);
 }
 
 static WPTime at_ms(int64_t ms)
@@ -211,9 +211,9 @@
     const char *kind;
     (void)unused;
     rate(q, p, 600, 0.3);
-    assert_false(wp_quality_bad(q, "new", &kind));
+    assert_false(wp_quality_is_bad(q, "new", &kind));
     rate(q, p, 640, 0.3);
-    assert_true(wp_quality_bad(q, "new", &kind));
+    assert_true(wp_quality_is_bad(q, "new", &kind));
     wp_quality_free(q);
     wp_policy_unref(p);
     wp_config_free(c);
--- a/tests/test_sync.c
+++ b/tests/test_sync.c
@@ -67,7 +67,7 @@
     tick(&s, 700);
     tell(WP_KV_CHANGED, "s1", 30, true);
     assert_non_null(known(&s, "s1"));
-    assert_true(known(&s, "s1")->missing_us > 0);
+    assert_true(known(&s, "s1")->missing_since_us > 0);
     site_end(&s);
 }
 
--- a/tests/test_verdict.c
+++ b/tests/test_verdict.c
@@ -209,8 +209,8 @@
     for (int i = 0; i < 60; i++)
         serve_paced(&k, "v1", 30);
     for (int i = 0; i < 30; i++) {
-        wp_fleet_load(wp_fleet_find(k.d.fleet, "n1"), k.now, 4, 0, 8);
-        wp_fleet_load(wp_fleet_find(k.d.fleet, "n2"), k.now, 4, 0, 8);
+        wp_fleet_set_load(wp_fleet_find(k.d.fleet, "n1"), k.now, 4, 0, 8);
+        wp_fleet_set_load(wp_fleet_find(k.d.fleet, "n2"), k.now, 4, 0, 8);
         serve_paced(&k, "v2", 240);
     }
     assert_false(wp_trial_is_bad(&sh->trial, true, NULL));
@@ -285,8 +285,8 @@
     WPDirectAnswer a = fake_answer(200, 90);
     (void)state;
     fake_init(&k);
-    wp_fleet_load(wp_fleet_find(k.d.fleet, "l1"), k.now, 4, 0, 8);
-    wp_fleet_load(wp_fleet_find(k.d.fleet, "l2"), k.now, 4, 0, 8);
+    wp_fleet_set_load(wp_fleet_find(k.d.fleet, "l1"), k.now, 4, 0, 8);
+    wp_fleet_set_load(wp_fleet_find(k.d.fleet, "l2"), k.now, 4, 0, 8);
     WPFlow *f = fake_ask(&k, "/chat/x", NULL, &m);
     WPShift *sh = order(&k);
     wp_flow_answer(f, k.now, &a, &m);
@@ -415,8 +415,8 @@
         for (int i = 0; i < 40; i++)
             serve_plain(&k, "v1", times[i % 5]);
         for (int i = 0; i < 10; i++) {
-            wp_fleet_load(wp_fleet_find(k.d.fleet, "b1"), k.now, 2, 0, 8);
-            wp_fleet_load(wp_fleet_find(k.d.fleet, "b2"), k.now, 2, 0, 8);
+            wp_fleet_set_load(wp_fleet_find(k.d.fleet, "b1"), k.now, 2, 0, 8);
+            wp_fleet_set_load(wp_fleet_find(k.d.fleet, "b2"), k.now, 2, 0, 8);
             serve_plain(&k, "v2", times[i % 5] * (slow && i % 2 ? 8 : 1));
         }
         assert_int_equal(wp_trial_is_bad(&sh->trial, true, NULL), slow);
