--- a/bench/lab.c
+++ b/bench/lab.c
@@ -568,12 +568,14 @@
     g_autofree char *why = NULL;
     GPtrArray *ops = NULL;
     (void)e;
-    wp_watch_look(&lab->watch, wp_entry_policy(entry), q, lab_now(lab));
+    wp_rollout_monitor_poll(&lab->watch, wp_entry_policy(entry), q,
+                            lab_now(lab));
     if (lab->plan->chart)
         ops = wp_rollout_step(lab->plan->chart, wp_entry_policy(entry), q,
                               &lab->watch, lab_now(lab), &why);
     if (!ops && lab->plan->stop_bad)
-        ops = wp_stop_bad(wp_entry_policy(entry), q, lab_now(lab), &why);
+        ops = wp_withdraw_bad_version(wp_entry_policy(entry), q, lab_now(lab),
+                                      &why);
     if (ops) {
         Wp__Delta d = WP__DELTA__INIT;
         d.prev = lab->revision;
--- a/bench/lab_int.h
+++ b/bench/lab_int.h
@@ -72,7 +72,7 @@
 } Event;
 
 struct Lab {
-    WPWatch watch;
+    WPRolloutMonitor watch;
     const LabPlan *plan;
     LabResult *r;
     Wp__Mix *mix;
--- a/bench/lab_setup.c
+++ b/bench/lab_setup.c
@@ -143,7 +143,7 @@
     wp_ops_free(ops);
     wp_pb_free(rules);
     lab->rand = g_rand_new_with_seed(p->seed);
-    wp_watch_init(&lab->watch);
+    wp_rollout_monitor_init(&lab->watch);
     lab->heap = g_ptr_array_new();
     lab->now_us = 1;
     lab->sums = calloc(1, sizeof(*lab->sums));
@@ -184,7 +184,7 @@
     wp_pb_free(lab->mix);
     wp_config_free(lab->config);
     g_ptr_array_unref(lab->heap);
-    wp_watch_end(&lab->watch);
+    wp_rollout_monitor_end(&lab->watch);
     g_rand_free(lab->rand);
     g_free(lab->doors);
     g_free(lab->servers);
--- a/io/wp_clock.c
+++ b/io/wp_clock.c
@@ -28,9 +28,9 @@
     return g_random_int();
 }
 
-void wp_clock_watch(WPLog *l, WPSteady *s, WPTime now)
+void wp_clock_watch(WPLog *l, WPClockMonitor *s, WPTime now)
 {
-    WPSteadyLook look = wp_steady_look(s, now);
+    WPClockSample look = wp_clock_monitor_sample(s, now);
     g_autofree char *step = NULL, *pause = NULL;
     if (look.step_ms) {
         step = g_strdup_printf("%ld", (long)look.step_ms);
--- a/io/wp_digest.c
+++ b/io/wp_digest.c
@@ -7,16 +7,16 @@
                       const Wp__MoveSums *m)
 {
     WPShift *sh = wp_shifts_find(s->host->direct.shifts, m->service);
-    WPShiftSums sums = wp_move_sums_read(m);
+    WPCanarySums sums = wp_move_sums_read(m);
     if (!sh || sh->revision != m->order)
         return;
-    wp_trial_hear(&sh->trial, from, m->life, &sums);
+    wp_canary_merge_report(&sh->canary, from, m->life, &sums);
     if (m->has_elapsed_ms)
-        wp_shift_hear_elapsed(sh, now, (int64_t)m->elapsed_ms);
+        wp_shift_merge_elapsed(sh, now, (int64_t)m->elapsed_ms);
     if (m->open)
-        wp_shift_hear_open(sh);
-    if (m->bad && !sh->suspect) {
-        wp_shift_hear_bad(sh);
+        wp_shift_merge_gate_passed(sh);
+    if (m->bad && !sh->found_bad) {
+        wp_shift_merge_bad(sh);
         wp_log(&s->host->log, WP_WARN, "version_bad", "service", sh->service,
                "version", sh->version, "why", "another box says so", "from",
                from, NULL);
@@ -80,16 +80,16 @@
     Wp__MirrorDigest *d = f->digest;
     if (sh->state != WP_SHIFT_RUNNING || d->n_moves == WP_MOVES_TOLD)
         return;
-    WPShiftSums own = wp_trial_own(&sh->trial);
+    WPCanarySums own = wp_canary_own_sums(&sh->canary);
     Wp__MoveSums *m = &f->sync->sums[d->n_moves];
     f->sync->sums_list[d->n_moves++] = m;
     wp_move_sums_fill(sh, f->sync->life, &own, m);
-    m->has_elapsed_ms = wp_elapsed_begun(&sh->elapsed);
+    m->has_elapsed_ms = wp_elapsed_started(&sh->elapsed);
     m->elapsed_ms = (uint64_t)wp_elapsed_ms(&sh->elapsed, f->now);
     m->has_open = 1;
-    m->open = sh->open;
+    m->open = sh->gate_passed;
     m->has_bad = 1;
-    m->bad = sh->suspect;
+    m->bad = sh->found_bad;
 }
 
 static void fill_loaded(void *arg, const char *what)
--- a/io/wp_direct_admin.c
+++ b/io/wp_direct_admin.c
@@ -40,8 +40,8 @@
 static void add_kept_out(void *arg, const WPSuspect *p)
 {
     Page *z = arg;
-    unsigned n = wp_suspect_count(p);
-    if (n >= WP_SUSPECT_KEPT_OUT)
+    unsigned n = wp_suspect_crash_count(p);
+    if (n >= WP_SUSPECT_QUARANTINE_CRASHES)
         g_string_append_printf(
             z->text, "wp_request_kept_out{box=\"%s\",request=\"%016lx\"} %u\n",
             z->box, (unsigned long)p->request, n);
--- a/io/wp_direct_int.h
+++ b/io/wp_direct_int.h
@@ -29,7 +29,7 @@
     struct event *tick, *term, *hup;
     WPList relays;
     unsigned n_relays;
-    WPSteady steady;
+    WPClockMonitor steady;
     WPHeld held;
     int64_t traffic_us; /* when the bytes to other boxes were last logged */
     bool leaving;       /* a planned stop has begun */
--- a/io/wp_host.c
+++ b/io/wp_host.c
@@ -15,7 +15,7 @@
 WPTime wp_host_now(const WPHost *h)
 {
     WPTime now = wp_clock_now(h->settings->clock_skew_ms);
-    now.wall_ms = wp_steady_wall_ms(&h->steady, now);
+    now.wall_ms = wp_clock_monitor_wall_ms(&h->steady, now);
     return now;
 }
 
@@ -186,7 +186,7 @@
                 patience * h->settings->dead_ms * WP_US_PER_MS);
     h->ops->tick(h->role, now);
     write_bills(h, now);
-    if (h->leaving && wp_guard_off(h->settings, WP_GUARD_DRAIN))
+    if (h->leaving && wp_guard_is_disabled(h->settings, WP_GUARD_DRAIN))
         event_base_loopbreak(h->base);
     if (h->leaving)
         check_stop(h, now);
--- a/io/wp_host_int.h
+++ b/io/wp_host_int.h
@@ -6,7 +6,7 @@
 #include "wp_fault.h"
 #include "wp_guard.h"
 #include "wp_host.h"
-#include "wp_steady.h"
+#include "wp_clock_monitor.h"
 
 struct WPHost {
     struct event_base *base;
@@ -23,7 +23,7 @@
     uint32_t seed;
     Wp__Load load; /* what rides on frames */
     WPFault fault;
-    WPSteady steady;
+    WPClockMonitor steady;
     bool leaving, pumping, boxes_asked, ratings_asked;
     int64_t leave_us;
 };
--- a/io/wp_news.c
+++ b/io/wp_news.c
@@ -35,8 +35,8 @@
         refuse_entry(s, key, l->id, problem);
         return;
     }
-    wp_shifts_listed(s->host->direct.shifts, l->service, l->version,
-                     !s->complete);
+    wp_shifts_note_registered(s->host->direct.shifts, l->service, l->version,
+                              !s->complete);
     if (!wp_fleet_put(s->host->direct.fleet, wp_clock_now(0), l))
         return;
     char born[24], cold[24];
@@ -68,7 +68,7 @@
 
 static void take_order(WPSync *s, const WPShiftOrder *o)
 {
-    if (wp_shifts_order(s->host->direct.shifts, wp_clock_now(0), o))
+    if (wp_shifts_add_order(s->host->direct.shifts, wp_clock_now(0), o))
         wp_log(&s->host->log, WP_INFO, "move_ordered", "service", o->service,
                "version", o->version, NULL);
 }
@@ -78,10 +78,10 @@
     WPShifts *shifts = s->host->direct.shifts;
     WPShift *sh = wp_shifts_find(shifts, n->order.service);
     WPShiftState had = sh ? sh->state : WP_SHIFT_RUNNING;
-    wp_shifts_outcome(shifts, &n->order, n->state);
+    wp_shifts_apply_outcome(shifts, &n->order, n->state);
     if (!sh || sh->state == had)
         return;
-    g_autofree char *figures = wp_shift_figures(sh, wp_clock_now(0));
+    g_autofree char *figures = wp_shift_stats_text(sh, wp_clock_now(0));
     wp_log(&s->host->log, WP_INFO, "move_ended", "service", sh->service,
            "version", sh->version, "state", wp_shift_state_name(sh->state),
            "figures", figures, NULL);
@@ -94,7 +94,7 @@
     g_autofree char *text = g_strndup(value.p, value.n);
     uint64_t order = g_ascii_strtoull(text, NULL, 10);
     if (sh && sh->revision == order)
-        wp_shift_hear_elapsed(sh, wp_clock_now(0), 0);
+        wp_shift_merge_elapsed(sh, wp_clock_now(0), 0);
 }
 
 /* Returns whether the key is one of the system's own. */
--- a/io/wp_record.c
+++ b/io/wp_record.c
@@ -65,7 +65,7 @@
                                      as_read(s, own) };
     const WPKvOp ops[] = { { key, wp_str(text), false },
                            { own, wp_str(began), false } };
-    g_autofree char *figures = wp_shift_figures(sh, now);
+    g_autofree char *figures = wp_shift_stats_text(sh, now);
     wp_count(&s->host->direct.counters, WP_C_ROLLOUT_STEPS);
     wp_log(&s->host->log, WP_INFO, "move_step", "service", sh->service,
            "version", sh->version, "state", wp_shift_state_name(state), "why",
@@ -100,14 +100,15 @@
 
 static void note_waits(WPSync *s, WPShift *sh, WPTime now)
 {
-    const char *had = sh->told_waits;
-    sh->told_waits = sh->waits;
-    if (!sh->waits || sh->waits == had)
+    const char *had = sh->logged_wait_reason;
+    sh->logged_wait_reason = sh->wait_reason;
+    if (!sh->wait_reason || sh->wait_reason == had)
         return;
-    g_autofree char *figures = wp_shift_figures(sh, now);
+    g_autofree char *figures = wp_shift_stats_text(sh, now);
     wp_count(&s->host->direct.counters, WP_C_MOVE_WAITS);
     wp_log(&s->host->log, WP_INFO, "move_waits", "service", sh->service,
-           "version", sh->version, "why", sh->waits, "figures", figures, NULL);
+           "version", sh->version, "why", sh->wait_reason, "figures", figures,
+           NULL);
 }
 
 static void carry_on(void *arg, WPShift *sh)
@@ -123,18 +124,19 @@
         wp_peers_announce(s->peers);
         g_clear_pointer(&why, g_free);
     }
-    WPShiftState due = wp_shift_due(s->host->direct.shifts, sh, now, &why);
+    WPShiftState due =
+        wp_shift_due_state(s->host->direct.shifts, sh, now, &why);
     note_waits(s, sh, now);
     /* A bad version is left at once, whether or not the store hears of it. */
-    if (due == WP_SHIFT_UNDONE && !sh->suspect) {
-        sh->suspect = true;
+    if (due == WP_SHIFT_ROLLED_BACK && !sh->found_bad) {
+        sh->found_bad = true;
         wp_log(&s->host->log, WP_WARN, "version_bad", "service", sh->service,
                "version", sh->version, "why", why, NULL);
         wp_peers_announce(s->peers);
     }
     if (!may_write(s, now))
         return;
-    bool begin = !wp_elapsed_begun(&sh->elapsed);
+    bool begin = !wp_elapsed_started(&sh->elapsed);
     if ((begin || due != WP_SHIFT_RUNNING) && is_turn(s, sh, due, now))
         write_move(s, sh, due, now, why);
 }
--- a/io/wp_relay_log.c
+++ b/io/wp_relay_log.c
@@ -64,7 +64,7 @@
 static void log_rest(WPRelay *r, const WPReplica *s)
 {
     char rest[LOG_NUMBER];
-    snprintf(rest, sizeof(rest), "%.3f", r->answer.rest.rest_s);
+    snprintf(rest, sizeof(rest), "%.3f", r->answer.rest.backoff_s);
     wp_log(&r->host->log, WP_INFO, "endpoint_rests", "endpoint", s->id,
            "service", s->service, "version", s->version, "seconds", rest, "id",
            r->flow->id, NULL);
@@ -92,9 +92,10 @@
 {
     r->list_age_ms = wp_sync_list_age_ms(r->host->sync, now);
     const WPReplica *s = m->replica;
-    int64_t age_ms = s->reported.load_us
-                         ? (now.mono_us - s->reported.load_us) / WP_US_PER_MS
-                         : -1;
+    int64_t age_ms =
+        s->reported.load_reported_us
+            ? (now.mono_us - s->reported.load_reported_us) / WP_US_PER_MS
+            : -1;
     g_string_append_printf(r->legs, "%s%s:%s:%s:%.*s:load=%u+%u/%u:age=%ldms",
                            r->legs->len ? "," : "", wp_why_name(m->why), s->id,
                            s->version, (int)m->model.n, m->model.p,
@@ -121,7 +122,7 @@
         g_string_append_printf(r->legs, ":limit=%g", wp_fleet_limit_of(s));
     else if (m->bar == WP_EXCLUDED_BACKOFF)
         g_string_append_printf(r->legs, ":rest=%.3fs",
-                               (double)(s->reported.rest_until_us - now_us) /
+                               (double)(s->reported.backoff_until_us - now_us) /
                                    WP_US_PER_S);
     else
         g_string_append(r->legs, ":cold");
@@ -145,8 +146,8 @@
         g_string_append(r->legs, "/not_run");
     if (r->answer.limit.said == WP_LIMIT_NAMED)
         g_string_append_printf(r->legs, "/limit=%g", r->answer.limit.per_s);
-    if (r->answer.leaving.said == WP_NOTICE_GIVEN)
+    if (r->answer.leaving.status == WP_NOTICE_PRESENT)
         g_string_append(r->legs, "/leaving");
-    if (r->answer.rest.said == WP_NOTICE_GIVEN)
-        g_string_append_printf(r->legs, "/rest=%gs", r->answer.rest.rest_s);
+    if (r->answer.rest.status == WP_NOTICE_PRESENT)
+        g_string_append_printf(r->legs, "/rest=%gs", r->answer.rest.backoff_s);
 }
--- a/io/wp_seen.c
+++ b/io/wp_seen.c
@@ -44,7 +44,7 @@
     g_free(v);
 }
 
-void wp_move_sums_fill(const WPShift *sh, uint64_t life, const WPShiftSums *v,
+void wp_move_sums_fill(const WPShift *sh, uint64_t life, const WPCanarySums *v,
                        Wp__MoveSums *m)
 {
     wp__move_sums__init(m);
@@ -59,39 +59,39 @@
     m->has_timed = m->has_fast = m->has_taken = 1;
     m->timed = v->timed;
     m->fast = v->fast;
-    m->taken = v->taken;
+    m->taken = v->utilization_permille;
     m->has_wholes = m->has_far = 1;
-    m->wholes = v->wholes;
-    m->far = v->far;
+    m->wholes = v->ratio_timed;
+    m->far = v->ratio_slow;
     m->has_loaded = m->has_loaded_failed = m->has_loaded_bad = 1;
     m->loaded = v->loaded;
     m->loaded_failed = v->loaded_failed;
-    m->loaded_bad = v->loaded_bad;
+    m->loaded_bad = v->loaded_bad_replicas;
     m->has_fails_spread = m->has_slow_spread = 1;
-    m->fails_spread = v->fails_spread;
-    m->slow_spread = v->slow_spread;
+    m->fails_spread = v->failures_widespread;
+    m->slow_spread = v->slowness_widespread;
     m->has_old_answered = m->has_old_failed = 1;
     m->old_answered = v->old_answered;
     m->old_failed = v->old_failed;
 }
 
-WPShiftSums wp_move_sums_read(const Wp__MoveSums *m)
+WPCanarySums wp_move_sums_read(const Wp__MoveSums *m)
 {
-    return (WPShiftSums){ .answered = m->answered,
-                          .failed = m->failed,
-                          .timed = m->timed,
-                          .slow = m->slow,
-                          .fast = m->fast,
-                          .taken = m->taken,
-                          .wholes = m->wholes,
-                          .far = m->far,
-                          .loaded = m->loaded,
-                          .loaded_failed = m->loaded_failed,
-                          .loaded_bad = m->loaded_bad,
-                          .fails_spread = m->fails_spread,
-                          .slow_spread = m->slow_spread,
-                          .old_answered = m->old_answered,
-                          .old_failed = m->old_failed };
+    return (WPCanarySums){ .answered = m->answered,
+                           .failed = m->failed,
+                           .timed = m->timed,
+                           .slow = m->slow,
+                           .fast = m->fast,
+                           .utilization_permille = m->taken,
+                           .ratio_timed = m->wholes,
+                           .ratio_slow = m->far,
+                           .loaded = m->loaded,
+                           .loaded_failed = m->loaded_failed,
+                           .loaded_bad_replicas = m->loaded_bad,
+                           .failures_widespread = m->fails_spread,
+                           .slowness_widespread = m->slow_spread,
+                           .old_answered = m->old_answered,
+                           .old_failed = m->old_failed };
 }
 
 static void on_written(void *arg, const WPKvResult *r)
@@ -118,12 +118,12 @@
     size_t n;
 } Lives;
 
-static void add_life(void *arg, const WPTrialLife *l)
+static void add_life(void *arg, const WPCanaryReport *l)
 {
     Lives *all = arg;
     if (all->n == LIVES_MOST)
         return;
-    wp_move_sums_fill(all->shift, l->life, &l->sums, &all->sums[all->n]);
+    wp_move_sums_fill(all->shift, l->incarnation, &l->sums, &all->sums[all->n]);
     all->list[all->n] = &all->sums[all->n];
     all->n++;
 }
@@ -133,9 +133,10 @@
     WPSeen *v = s->seen;
     const char *box = s->host->settings->id;
     Lives lives = { .shift = sh };
-    const WPTrialLife own = { NULL, s->life, wp_trial_own(&sh->trial) };
+    const WPCanaryReport own = { NULL, s->life,
+                                 wp_canary_own_sums(&sh->canary) };
     add_life(&lives, &own);
-    wp_trial_each(&sh->trial, box, add_life, &lives);
+    wp_canary_each_report(&sh->canary, box, add_life, &lives);
     Wp__MoveRecord m = WP__MOVE_RECORD__INIT;
     m.order = sh->revision;
     m.elapsed_ms = (uint64_t)wp_elapsed_ms(&sh->elapsed, now);
@@ -162,7 +163,7 @@
 static void find_oldest(void *arg, WPShift *sh)
 {
     Find *f = arg;
-    if (sh->state != WP_SHIFT_RUNNING || !wp_elapsed_begun(&sh->elapsed))
+    if (sh->state != WP_SHIFT_RUNNING || !wp_elapsed_started(&sh->elapsed))
         return;
     g_autofree char *key = g_strconcat(WP_KEY_SEEN, sh->service, "/",
                                        f->sync->host->settings->id, NULL);
@@ -201,7 +202,7 @@
 {
     g_autofree char *elapsed =
         g_strdup_printf("%lu", (unsigned long)m->elapsed_ms);
-    g_autofree char *figures = wp_trial_text(&sh->trial);
+    g_autofree char *figures = wp_canary_stats_text(&sh->canary);
     wp_log(&s->host->log, WP_INFO, "move_resumed", "service", sh->service,
            "version", sh->version, "elapsed_ms", elapsed, "figures", figures,
            NULL);
@@ -214,11 +215,12 @@
     bool own = !strcmp(box, s->host->settings->id), is_new = false;
     if (sh->revision != m->order)
         return;
-    wp_shift_hear_elapsed(sh, wp_clock_now(0), (int64_t)m->elapsed_ms);
+    wp_shift_merge_elapsed(sh, wp_clock_now(0), (int64_t)m->elapsed_ms);
     for (size_t i = 0; i < m->n_lives; i++) {
-        WPShiftSums sums = wp_move_sums_read(m->lives[i]);
+        WPCanarySums sums = wp_move_sums_read(m->lives[i]);
         if (!own || m->lives[i]->life != s->life)
-            is_new |= wp_trial_hear(&sh->trial, box, m->lives[i]->life, &sums);
+            is_new |= wp_canary_merge_report(&sh->canary, box,
+                                             m->lives[i]->life, &sums);
     }
     if (own && is_new)
         note_own(s, sh, m);
--- a/io/wp_server.c
+++ b/io/wp_server.c
@@ -297,7 +297,7 @@
     s->settings = settings;
     s->streams = g_hash_table_new(g_int64_hash, g_int64_equal);
     wp_list_init(&s->exchanges);
-    wp_watch_init(&s->watch);
+    wp_rollout_monitor_init(&s->watch);
     s->chart = load_chart(settings, error);
     if (s->chart)
         s->entry =
@@ -343,7 +343,7 @@
         evhttp_free(s->http);
     wp_entry_free(s->entry);
     wp_pb_free(s->chart);
-    wp_watch_end(&s->watch);
+    wp_rollout_monitor_end(&s->watch);
     g_hash_table_unref(s->streams);
     g_free(s);
 }
--- a/io/wp_server_int.h
+++ b/io/wp_server_int.h
@@ -16,7 +16,7 @@
     WPList exchanges;
     uint64_t next_stream;
     Wp__Chart *chart;
-    WPWatch watch;
+    WPRolloutMonitor watch;
     int64_t rollout_due_us;
     bool rollout_writing;
 };
--- a/io/wp_steer.c
+++ b/io/wp_steer.c
@@ -24,8 +24,8 @@
     WPPolicy *p = wp_entry_policy(s->entry);
     const WPQuality *q = wp_node_quality(wp_host_node(s->host));
     GPtrArray *ops = wp_rollout_step(s->chart, p, q, &s->watch, now, why);
-    if (!ops && !wp_guard_off(s->settings->node, WP_GUARD_STOP_BAD)) {
-        ops = wp_stop_bad(p, q, now, why);
+    if (!ops && !wp_guard_is_disabled(s->settings->node, WP_GUARD_STOP_BAD)) {
+        ops = wp_withdraw_bad_version(p, q, now, why);
         *stop = ops != NULL;
     }
     return ops;
@@ -41,8 +41,8 @@
         !wp_node_ready(n) || !wp_entry_policy(s->entry))
         return;
     s->rollout_due_us = now.mono_us + STEER_US;
-    wp_watch_look(&s->watch, wp_entry_policy(s->entry), wp_node_quality(n),
-                  now);
+    wp_rollout_monitor_poll(&s->watch, wp_entry_policy(s->entry),
+                            wp_node_quality(n), now);
     if (!wp_node_entry_on_duty(n, STEERERS))
         return;
     GPtrArray *ops = next_step(s, now, &why, &stop);
--- a/io/wp_suspect_news.c
+++ b/io/wp_suspect_news.c
@@ -20,7 +20,8 @@
     SPREAD_MOST_MS = 1000,
     RECORDS_MOST = 256, /* in the store. XXX: what more requests did is known to
                            processes only */
-    COUNT_KEPT = WP_SUSPECT_KEPT_OUT + 1, /* lives that a record is to tell */
+    COUNT_KEPT =
+        WP_SUSPECT_QUARANTINE_CRASHES + 1, /* lives that a record is to tell */
     GAP_MS = 20, /* between messages: what one crash brings goes in the first */
     BURST = 128, /* requests told at once: what runs at some endpoints */
     PER_S = 50,  /* and after that: where a fifth of a thousand answers a second
@@ -46,19 +47,20 @@
                  const WPSuspect *p)
 {
     char hash[HEX + 1], ended[HEX + 1], tries[HEX + 1];
-    unsigned n = wp_suspect_count(p);
+    unsigned n = wp_suspect_crash_count(p);
     snprintf(hash, sizeof(hash), "%016lx", (unsigned long)p->request);
     snprintf(ended, sizeof(ended), "%u", n);
-    snprintf(tries, sizeof(tries), "%u", p->tries);
-    wp_log(&s->host->log, n >= WP_SUSPECT_KEPT_OUT ? WP_WARN : WP_INFO, event,
+    snprintf(tries, sizeof(tries), "%u", p->probes);
+    wp_log(&s->host->log,
+           n >= WP_SUSPECT_QUARANTINE_CRASHES ? WP_WARN : WP_INFO, event,
            "request_hash", hash, "ended", ended, "tries", tries, "from", from,
            NULL);
 }
 
 typedef struct Message {
-    WPSuspect suspects[WP_SUSPECTS_TOLD];
-    WPSuspectRoom room[WP_SUSPECTS_TOLD];
-    Wp__Suspect items[WP_SUSPECTS_TOLD], *list[WP_SUSPECTS_TOLD];
+    WPSuspect suspects[WP_SUSPECTS_PER_MESSAGE];
+    WPSuspectBuffers room[WP_SUSPECTS_PER_MESSAGE];
+    Wp__Suspect items[WP_SUSPECTS_PER_MESSAGE], *list[WP_SUSPECTS_PER_MESSAGE];
 } Message;
 
 /* How many requests may be told now. */
@@ -67,7 +69,7 @@
     double passed_s = (double)(now.mono_us - d->sent_us) / WP_US_PER_S;
     d->allowance = MIN(d->allowance + PER_S * passed_s, (double)BURST);
     d->sent_us = now.mono_us;
-    return MIN((size_t)d->allowance, WP_SUSPECTS_TOLD);
+    return MIN((size_t)d->allowance, WP_SUSPECTS_PER_MESSAGE);
 }
 
 static void send_news(WPSuspectNews *d, WPTime now, size_t most)
@@ -76,10 +78,10 @@
     g_autofree Message *m = g_new(Message, 1);
     Wp__SuspectNews news = WP__SUSPECT_NEWS__INIT;
     news.n_suspects =
-        wp_suspects_tell(s->host->direct.suspects, m->suspects, most);
+        wp_suspects_take_unsent(s->host->direct.suspects, m->suspects, most);
     news.suspects = m->list;
     for (size_t i = 0; i < news.n_suspects; i++) {
-        wp_suspect_fill(&m->suspects[i], now, &m->room[i], &m->items[i]);
+        wp_suspect_encode(&m->suspects[i], now, &m->room[i], &m->items[i]);
         m->list[i] = &m->items[i];
     }
     d->allowance -= (double)news.n_suspects;
@@ -103,7 +105,7 @@
 {
     static const struct timeval at_once = { 0, 0 };
     static const struct timeval later = { 0, GAP_MS * WP_US_PER_MS };
-    if (!wp_suspects_any_untold(d->sync->host->direct.suspects) ||
+    if (!wp_suspects_any_unsent(d->sync->host->direct.suspects) ||
         event_pending(d->send, EV_TIMEOUT, NULL))
         return;
     int64_t gap_us = wp_clock_now(0).mono_us - d->sent_us;
@@ -115,9 +117,9 @@
                  const Wp__Suspect *m)
 {
     WPSuspects *all = s->host->direct.suspects;
-    unsigned had = wp_suspects_count(all, m->request);
-    if (wp_suspects_hear(all, wp_clock_now(0), m) &&
-        wp_suspects_count(all, m->request) != had)
+    unsigned had = wp_suspects_crash_count(all, m->request);
+    if (wp_suspects_merge(all, wp_clock_now(0), m) &&
+        wp_suspects_crash_count(all, m->request) != had)
         note(s, event, from, wp_suspects_find(all, m->request));
 }
 
@@ -133,8 +135,8 @@
 {
     uint64_t request = strtoull(hex, NULL, HEX);
     if (!value) {
-        if (wp_suspects_let_in(s->host->direct.suspects, wp_clock_now(0),
-                               request))
+        if (wp_suspects_release(s->host->direct.suspects, wp_clock_now(0),
+                                request))
             wp_log(&s->host->log, WP_INFO, "suspect_let_in", "request_hash",
                    hex, NULL);
         return;
@@ -159,7 +161,7 @@
 /* What a record tells; zeros when there is none. */
 typedef struct Recorded {
     bool is_there;
-    unsigned halves, tries; /* lives, counted as by wp_suspect_count() */
+    unsigned halves, tries; /* lives, counted as by wp_suspect_crash_count() */
 } Recorded;
 
 static Recorded read_record(const WPSync *s, const char *key)
@@ -196,9 +198,9 @@
     if (!due) {
         double spread_ms =
             MIN(SPREAD_MS * wp_peers_known(s->peers), SPREAD_MOST_MS);
-        bool out = wp_suspect_count(p) >= WP_SUSPECT_KEPT_OUT;
+        bool out = wp_suspect_crash_count(p) >= WP_SUSPECT_QUARANTINE_CRASHES;
         double ms = (out ? WRITE_AFTER_MS : DOUBT_AFTER_MS) +
-                    (p->own ? 0 : OTHERS_AFTER_MS) +
+                    (p->local_origin ? 0 : OTHERS_AFTER_MS) +
                     spread_ms * g_rand_double(s->host->direct.rand);
         due = g_new(int64_t, 1);
         *due = now.mono_us + (int64_t)(ms * WP_US_PER_MS);
@@ -215,9 +217,9 @@
     WPSuspectNews *d = s->suspect_news;
     g_autofree char *key = key_of(p->request);
     const Recorded r = read_record(s, key);
-    bool lasts = wp_suspect_lasts(p, l->now);
-    unsigned count = MIN(wp_suspect_count(p), COUNT_KEPT);
-    bool lacks = lasts && (r.halves / 2 < count || r.tries < p->tries);
+    bool lasts = wp_suspect_is_persistent(p, l->now);
+    unsigned count = MIN(wp_suspect_crash_count(p), COUNT_KEPT);
+    bool lacks = lasts && (r.halves / 2 < count || r.tries < p->probes);
     d->records += r.is_there;
     if (!lacks && (lasts || !r.is_there)) {
         g_hash_table_remove(d->due, &p->request);
@@ -258,10 +260,10 @@
 static void write_record(WPSync *s, const Look *l)
 {
     WPSuspectNews *d = s->suspect_news;
-    WPSuspectRoom room;
+    WPSuspectBuffers room;
     Wp__Suspect m;
     d->key = key_of(l->suspect.request);
-    wp_suspect_fill(&l->suspect, l->now, &room, &m);
+    wp_suspect_encode(&l->suspect, l->now, &room, &m);
     m.has_busy_ms = m.has_busy_box = 0;
     d->value = l->removes ? NULL : wp_pb_pack(&m.base);
     d->writing = true;
--- a/io/wp_sync_int.h
+++ b/io/wp_sync_int.h
@@ -110,9 +110,9 @@
 void wp_suspect_news_take(WPSync *s, const char *hex, const WPStr *value);
 
 /* The sums of one life, on the wire. */
-void wp_move_sums_fill(const WPShift *sh, uint64_t life, const WPShiftSums *v,
+void wp_move_sums_fill(const WPShift *sh, uint64_t life, const WPCanarySums *v,
                        Wp__MoveSums *out);
-WPShiftSums wp_move_sums_read(const Wp__MoveSums *m);
+WPCanarySums wp_move_sums_read(const Wp__MoveSums *m);
 
 /* wp_record.c: writes what this box has to tell. */
 void wp_record_tick(WPSync *s, WPTime now);
--- a/io/wp_sync_peers.c
+++ b/io/wp_sync_peers.c
@@ -51,7 +51,7 @@
     wp_log(&s->host->log, WP_INFO, up ? "peer_reached" : "peer_lost", "peer",
            peer, NULL);
     if (up)
-        wp_suspects_tell_all(s->host->direct.suspects);
+        wp_suspects_mark_all_unsent(s->host->direct.suspects);
     wp_sync_suspects(s);
     if (s->notice_news)
         wp_notice_news_peer(s->notice_news, peer, up);
--- a/src/wp_agent.c
+++ b/src/wp_agent.c
@@ -35,13 +35,13 @@
     a->offered = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     a->bills = wp_bills_new(self->id, self->incarnation, s->node->bill_batch_ms,
                             s->node->bill_limit);
-    if (wp_guard_off(s->node, WP_GUARD_BILL_RETRY))
+    if (wp_guard_is_disabled(s->node, WP_GUARD_BILL_RETRY))
         wp_bills_set_careless(a->bills);
     a->versions = g_new0(char *, s->n_versions + 1);
     for (size_t i = 0; i < s->n_versions; i++)
         a->versions[i] = g_strdup(s->versions[i]);
     for (int g = 0; g < WP_GUARD_COUNT; g++)
-        a->off[g] = wp_guard_off(s->node, (WPGuard)g);
+        a->off[g] = wp_guard_is_disabled(s->node, (WPGuard)g);
     wp_list_init(&a->held);
     wp_list_init(&a->refused);
     return a;
--- /dev/null
+++ b/src/wp_canary_judge.c
@@ -0,0 +1,267 @@
+/* Judges whether a new version is bad. */
+#include "wp_canary_judge.h"
+
+#include <math.h>
+
+/* A version fails when it has at least this many failed answers, and by this
+   many standard deviations more than the old version's failure rate makes
+   expected. With three entries a bad version is found well before the
+   platform's limit of fifty bad answers. */
+#define MIN_BAD 5
+#define DEVIATIONS 4.0
+
+/* This many failed answers are enough if fewer than FEW_EXPECTED are expected:
+   three of some twenty, where the old version had none in hundreds, are hardly
+   chance. */
+#define FEW_BAD 3
+#define FEW_EXPECTED 0.04
+
+/* By definition, a quarter of the old version's answers are fast and a quarter
+   are slow. A version is slow when at least MIN_SLOW_SHARE of at least
+   MIN_TIMED answers with a time are slow. Good versions had up to half of their
+   answers there while their endpoints filled, so this is tested only while the
+   old version serves as well. */
+#define USUAL_FAST 0.25
+#define USUAL_SLOW 0.25
+#define MIN_SLOW_SHARE 0.6
+#define MIN_TIMED 10
+
+/* Shares of answer times below the old version's first quartile, between its
+   quartiles and above its third, when the answers come from endpoints with a
+   lower utilization than the old version's: of a good version, and of a slow
+   one. See docs/PLATFORM.md. */
+static const struct {
+    double fast, middle, slow;
+} good_times = { 0.6, 0.3, 0.1 }, slow_times = { 0.03, 0.57, 0.4 };
+
+/* Log odds of a slow version against a good one from which on a version counts
+   as slow. The highest value of a good version in simulations was 1. */
+#define LOG_ODDS_SLOW 6.0
+
+/* The new version's endpoints are less loaded if their mean utilization is
+   below this part of the old version's. */
+#define LESS_LOADED 0.5
+
+/* For times that are compared by their ratio (WP_TIME_RATIO_NORMAL,
+   WP_TIME_RATIO_SLOW), as those of plain services: the share of answers that
+   take more than twice the old version's third quartile. Of a good version,
+   whose times have a standard deviation of a half, as the users' specification
+   gives them; and of a slow one, half of whose answers are slow. */
+#define RATIO_SLOW_SHARE_GOOD 0.03
+#define RATIO_SLOW_SHARE_BAD 0.5
+
+#define PERMILLE 1000.0
+
+/* With this many answers of the old version that have a time, times can be
+   compared. A new version with MAX_UNTIMED answers, none of which has a time,
+   is suspicious then. */
+#define MIN_OLD_TIMED 20
+#define MAX_UNTIMED 40
+
+/* A version that fails is assumed to have a failure rate this much above that
+   of a good one: the smallest difference that was simulated. */
+#define EXTRA_FAILURE_RATE 0.15
+
+/* This many answers of a new version, and this many of them with a time, tell a
+   good one from a bad one. Of a version that fails three requests in ten, 8
+   answers have no failure in 6 of 100 cases, and it is found at once when it
+   gets all requests. Of a slow version, 5 of 5 times look like a good one's in
+   fewer than 1 of 1,000 cases. */
+#define ENOUGH_ANSWERS 8
+#define ENOUGH_TIMES 5
+
+/* A version is bad under load if at least this share of at least this many
+   answers of loaded replicas failed. One that was bad under load failed half of
+   its answers there. */
+#define MIN_LOADED 8
+#define LOADED_FAILED_SHARE 0.25
+
+/* Prior for the old version's failure rate: this many answers, one of them
+   failed, are added to the known ones. */
+#define PRIOR_ANSWERS 100.0
+
+void wp_canary_sums_record(WPCanarySums *v, const WPCanaryAnswer *a)
+{
+    v->answered++;
+    v->failed += a->failed;
+    if (a->time == WP_TIME_UNKNOWN)
+        return;
+    if (a->time == WP_TIME_RATIO_NORMAL || a->time == WP_TIME_RATIO_SLOW) {
+        v->ratio_timed++;
+        v->ratio_slow += a->time == WP_TIME_RATIO_SLOW;
+        return;
+    }
+    v->timed++;
+    v->fast += a->time == WP_TIME_FAST;
+    v->slow += a->time == WP_TIME_SLOW;
+    v->utilization_permille += (uint64_t)(a->utilization * PERMILLE);
+}
+
+void wp_canary_sums_add(WPCanarySums *to, const WPCanarySums *v)
+{
+    to->loaded += v->loaded;
+    to->loaded_failed += v->loaded_failed;
+    to->loaded_bad_replicas =
+        MAX(to->loaded_bad_replicas, v->loaded_bad_replicas);
+    to->answered += v->answered;
+    to->failed += v->failed;
+    to->timed += v->timed;
+    to->slow += v->slow;
+    to->fast += v->fast;
+    to->ratio_timed += v->ratio_timed;
+    to->ratio_slow += v->ratio_slow;
+    to->utilization_permille += v->utilization_permille;
+    to->failures_widespread |= v->failures_widespread;
+    to->slowness_widespread |= v->slowness_widespread;
+    to->old_answered += v->old_answered;
+    to->old_failed += v->old_failed;
+}
+
+/* `part` of `n`; 0 if there are none. */
+static double rate(uint32_t part, uint32_t n)
+{
+    return n ? (double)part / n : 0;
+}
+
+/* Whether `bad` of `n` answers are significantly more than the old version's
+   rate of `old_bad` of `old_n` makes expected. Without answers of the old
+   version, its rate is taken to be one in a hundred. */
+static bool too_many(uint32_t bad, uint32_t n, uint32_t old_bad, uint32_t old_n)
+{
+    double expected = n * (old_bad + 1.0) / (old_n + PRIOR_ANSWERS);
+    bool significant =
+        bad >= MIN_BAD && bad > expected + DEVIATIONS * sqrt(expected);
+    return significant || (bad >= FEW_BAD && expected < FEW_EXPECTED);
+}
+
+static bool fails(const WPCanarySums *v, const WPCanarySums *old)
+{
+    return too_many(v->failed, v->answered, old->failed, old->answered);
+}
+
+/* Whether most answers are slow, and significantly more than expected from the
+   old version's rate of slow answers, which is taken to be a quarter at
+   least. */
+static bool is_slow(const WPCanarySums *v, const WPCanarySums *old)
+{
+    double base = MAX(USUAL_SLOW, rate(old->slow, old->timed));
+    double expected = v->timed * base;
+    double dev = sqrt(v->timed * base * (1 - base));
+    return v->timed >= MIN_TIMED && rate(v->slow, v->timed) >= MIN_SLOW_SHARE &&
+           v->slow > expected + DEVIATIONS * dev;
+}
+
+static double mean_utilization(const WPCanarySums *v)
+{
+    return v->timed ? (double)v->utilization_permille / v->timed : 0;
+}
+
+static bool is_less_loaded(const WPCanarySums *v, const WPCanarySums *old)
+{
+    return mean_utilization(v) < LESS_LOADED * mean_utilization(old);
+}
+
+/* Log odds of a slow version against a good one. Valid where the new version's
+   endpoints are less loaded than the old version's: there a good version's
+   answers are mostly fast, a slow one's hardly ever. */
+static double log_odds(const WPCanarySums *v)
+{
+    uint32_t middle = v->timed - v->fast - v->slow;
+    return v->fast * log(slow_times.fast / good_times.fast) +
+           middle * log(slow_times.middle / good_times.middle) +
+           v->slow * log(slow_times.slow / good_times.slow);
+}
+
+/* Whether the log odds show a slow version, on endpoints that are less loaded
+   than the old version's. */
+static bool is_rarely_fast(const WPCanarySums *v, const WPCanarySums *old)
+{
+    return log_odds(v) >= LOG_ODDS_SLOW && is_less_loaded(v, old);
+}
+
+/* Log odds of a slow version against a good one, of answers whose times are
+   compared by their ratio to the old version's (WP_TIME_RATIO_NORMAL,
+   WP_TIME_RATIO_SLOW). */
+static double ratio_log_odds(const WPCanarySums *v)
+{
+    return v->ratio_slow * log(RATIO_SLOW_SHARE_BAD / RATIO_SLOW_SHARE_GOOD) +
+           (v->ratio_timed - v->ratio_slow) *
+               log((1 - RATIO_SLOW_SHARE_BAD) / (1 - RATIO_SLOW_SHARE_GOOD));
+}
+
+/* Guards against completing a shift on uncertain statistics: three failures of
+   some thirty answers, where the old version had none in hundreds, are too few
+   for a verdict after a start. */
+bool wp_canary_sums_may_fail(const WPCanarySums *v, const WPCanarySums *old)
+{
+    double good = (old->failed + 1.0) / (old->answered + PRIOR_ANSWERS);
+    double bad = MIN(good + EXTRA_FAILURE_RATE, 1 - EXTRA_FAILURE_RATE);
+    double log_odds_bad =
+        v->failed * log(bad / good) +
+        (v->answered - v->failed) * log((1 - bad) / (1 - good));
+    return v->failed && log_odds_bad > 0;
+}
+
+bool wp_canary_sums_may_be_slow(const WPCanarySums *v, const WPCanarySums *old)
+{
+    if (v->ratio_timed && ratio_log_odds(v) > 0)
+        return true;
+    if (old->ratio_timed >= MIN_OLD_TIMED && !v->ratio_timed)
+        return v->answered >= MAX_UNTIMED;
+    if (old->timed < MIN_OLD_TIMED)
+        return false;
+    if (!v->timed)
+        return v->answered >= MAX_UNTIMED;
+    if (is_less_loaded(v, old))
+        return log_odds(v) > 0;
+    return rate(v->slow, v->timed) >= MIN_SLOW_SHARE;
+}
+
+bool wp_canary_sums_suffice(const WPCanarySums *v, const WPCanarySums *old)
+{
+    return v->answered >= ENOUGH_ANSWERS &&
+           v->timed + v->ratio_timed >= ENOUGH_TIMES &&
+           old->timed + old->ratio_timed >= MIN_OLD_TIMED;
+}
+
+WPVersionFault wp_canary_judge(const WPCanarySums *v, const WPCanarySums *old,
+                               bool beside)
+{
+    if (fails(v, old))
+        return WP_VERSION_FAULT_FAILS;
+    if (ratio_log_odds(v) >= LOG_ODDS_SLOW)
+        return WP_VERSION_FAULT_SLOW;
+    if (beside && (is_slow(v, old) || is_rarely_fast(v, old)))
+        return WP_VERSION_FAULT_SLOW;
+    return WP_VERSION_FAULT_NONE;
+}
+
+bool wp_canary_sums_any_failed(const WPCanarySums *v)
+{
+    return v->failed > 0;
+}
+
+bool wp_canary_sums_are_slow(const WPCanarySums *v)
+{
+    bool half_slow = v->slow > 0 && v->slow * 2 >= v->timed;
+    return half_slow || v->ratio_slow > 0 || v->fast < USUAL_FAST * v->timed;
+}
+
+/* Few replicas are loaded, so a few that fail are enough. */
+bool wp_canary_sums_fail_loaded(const WPCanarySums *v)
+{
+    return v->loaded >= MIN_LOADED &&
+           v->loaded_bad_replicas >= WP_CANARY_MIN_BAD_REPLICAS &&
+           rate(v->loaded_failed, v->loaded) >= LOADED_FAILED_SHARE;
+}
+
+char *wp_canary_sums_text(const char *route, const WPCanarySums *v,
+                          const WPCanarySums *old)
+{
+    return g_strdup_printf(
+        "route=%s new=%u/%u failed, %u/%u slow, %u fast, %u/%u far; "
+        "old=%u/%u failed, %u/%u slow, %u fast, %u/%u far",
+        route, v->failed, v->answered, v->slow, v->timed, v->fast,
+        v->ratio_slow, v->ratio_timed, old->failed, old->answered, old->slow,
+        old->timed, old->fast, old->ratio_slow, old->ratio_timed);
+}
--- /dev/null
+++ b/src/wp_canary_judge.h
@@ -0,0 +1,106 @@
+/* Judges whether a new version is bad, by statistics of its answers and of
+ * those of the version that it is to replace. */
+#ifndef WP_CANARY_JUDGE_H
+#define WP_CANARY_JUDGE_H
+
+#include "wp_base.h"
+
+/* Statistics of a group of answers. Those of several boxes can be added. */
+typedef struct WPCanarySums {
+    uint32_t answered, failed;
+    /* Answers whose time is compared by the old version's quartiles, and those
+       of them that were slow and fast (WP_TIME_SLOW, WP_TIME_FAST). */
+    uint32_t timed, slow;
+    uint32_t fast;
+    /* The endpoint's utilization at each of these answers, in thousandths,
+       added up. */
+    uint64_t utilization_permille;
+    /* Answers whose time is compared by its ratio to the old version's
+       (WP_TIME_RATIO_NORMAL, WP_TIME_RATIO_SLOW), and those of them that were
+       slow (WP_TIME_RATIO_SLOW). */
+    uint32_t ratio_timed, ratio_slow;
+    /* Answers of loaded replicas (utilization of a half or more), those of them
+       that failed, and the number of replicas on which some of those failed. */
+    uint32_t loaded, loaded_failed, loaded_bad_replicas;
+    /* Whether a box saw failures, or slow answers, on so many endpoints that
+       they are the version's fault and not that of some endpoints. */
+    bool failures_widespread, slowness_widespread;
+    /* In the sums of a new version: answers of the old version at the same
+       boxes, and those of them that failed. */
+    uint32_t old_answered, old_failed;
+} WPCanarySums;
+
+/* Class of an answer's time, compared with the times of the old version. */
+typedef enum WPAnswerTime {
+    WP_TIME_UNKNOWN, /* not counted: the endpoint was too busy, or too few times
+                        of the old version are known */
+    WP_TIME_FAST,    /* below the old version's first quartile */
+    WP_TIME_MIDDLE,  /* between its first and its third quartile */
+    WP_TIME_SLOW,    /* above its third quartile */
+    /* For plain services, whose times do not depend on their load, and where
+       the old version's quartiles lie close together: by the ratio to its third
+       quartile. */
+    WP_TIME_RATIO_NORMAL, /* not several times as long */
+    WP_TIME_RATIO_SLOW    /* several times as long */
+} WPAnswerTime;
+
+/* How one request ended at an endpoint. */
+typedef struct WPCanaryAnswer {
+    const char *version, *replica, *route;
+    bool failed;
+    WPAnswerTime time;
+    double utilization; /* share of the endpoint's slots that were in use when
+                           the request was sent */
+} WPCanaryAnswer;
+
+/* A bad version is bad on all its endpoints. With fewer bad ones than this, it
+   is left to the choice of endpoints to avoid them. */
+enum { WP_CANARY_MIN_BAD_REPLICAS = 2 };
+
+/* What makes a version bad. */
+typedef enum WPVersionFault {
+    WP_VERSION_FAULT_NONE,
+    WP_VERSION_FAULT_FAILS,
+    WP_VERSION_FAULT_SLOW
+} WPVersionFault;
+
+/* Adds one answer to the sums. */
+void wp_canary_sums_record(WPCanarySums *v, const WPCanaryAnswer *a);
+
+/* Adds the sums `v` of another group of answers to `to`. */
+void wp_canary_sums_add(WPCanarySums *to, const WPCanarySums *v);
+
+/* In the following functions `v` are the sums of the new version and `old`
+   those of the old one. */
+
+/* The verdict on the new version. `beside`: the old version serves as well, so
+   that answer times can be compared. */
+WPVersionFault wp_canary_judge(const WPCanarySums *v, const WPCanarySums *old,
+                               bool beside);
+
+/* Whether the failures are more likely from a version that fails than from a
+   good one. A verdict takes more. */
+bool wp_canary_sums_may_fail(const WPCanarySums *v, const WPCanarySums *old);
+
+/* Whether the answers are more likely from a slow version than from a good one,
+   or there are many without a single time although the old version's answers
+   have times. */
+bool wp_canary_sums_may_be_slow(const WPCanarySums *v, const WPCanarySums *old);
+
+/* Whether there are enough answers of both versions, with times, to tell a good
+   new version from a bad one. */
+bool wp_canary_sums_suffice(const WPCanarySums *v, const WPCanarySums *old);
+
+/* Whether the new version fails on loaded replicas. */
+bool wp_canary_sums_fail_loaded(const WPCanarySums *v);
+
+/* Whether some answer of a replica failed; whether its answers are slow. */
+bool wp_canary_sums_any_failed(const WPCanarySums *v);
+bool wp_canary_sums_are_slow(const WPCanarySums *v);
+
+/* The statistics as text for the log; `route` is the route that they are of, or
+   "all". Free with g_free(). */
+char *wp_canary_sums_text(const char *route, const WPCanarySums *v,
+                          const WPCanarySums *old);
+
+#endif
--- a/src/wp_direct.c
+++ b/src/wp_direct.c
@@ -91,7 +91,7 @@
     if (now.mono_us - d->swept_us < SWEEP_US)
         return;
     d->swept_us = now.mono_us;
-    wp_suspects_tick(d->suspects, now);
+    wp_suspects_expire(d->suspects, now);
     g_hash_table_foreach_remove(d->sessions, is_over, &sweep);
 }
 
@@ -231,7 +231,7 @@
 {
     if (what == WP_TELL_LEFT)
         return seen->own && !seen->told_left &&
-               wp_shifts_have_left(d->shifts, seen->version);
+               wp_shifts_any_retired(d->shifts, seen->version);
     bool moved = what == WP_TELL_MOVED;
     return !seen->told && is_new_version(d, seen->version) == moved &&
            needs_telling(d, now, seen->session, moved);
@@ -242,9 +242,9 @@
 {
     switch (what) {
     case WP_TELL_BOUND:
-        return wp_shifts_first_half(d->shifts, now);
+        return wp_shifts_any_first_half(d->shifts, now);
     case WP_TELL_MOVED:
-        return wp_shifts_partial(d->shifts, now);
+        return wp_shifts_any_partial(d->shifts, now);
     default:
         return true;
     }
--- a/src/wp_engine_cost.c
+++ b/src/wp_engine_cost.c
@@ -78,7 +78,7 @@
                     .uncached_tokens = q->prompt->tokens - cached,
                     .load = wp_fleet_load_of(s, now),
                     .queued_prefill_us = wp_fleet_queued_prefill_us(s, now),
-                    .slowdown = s->reported.pace }
+                    .slowdown = s->reported.slowdown }
     };
     prefill.cost = cost_of(r, q, &prefill.inputs);
     const WPCacheHolder *k = holder_of(holders, s->version);
--- a/src/wp_entry.c
+++ b/src/wp_entry.c
@@ -31,10 +31,10 @@
                             s->node->bill_limit);
     wp_list_init(&e->copies);
     wp_witness_init(e);
-    if (wp_guard_off(s->node, WP_GUARD_BILL_RETRY))
+    if (wp_guard_is_disabled(s->node, WP_GUARD_BILL_RETRY))
         wp_bills_set_careless(e->bills);
     for (int g = 0; g < WP_GUARD_COUNT; g++)
-        e->off[g] = wp_guard_off(s->node, (WPGuard)g);
+        e->off[g] = wp_guard_is_disabled(s->node, (WPGuard)g);
     return e;
 }
 
--- a/src/wp_fleet.c
+++ b/src/wp_fleet.c
@@ -208,7 +208,7 @@
 {
     bool other_version = strcmp(s->version, l->version) != 0;
     bool changed = other_version ||
-                   (!s->reported.leaving.from && l->draining) ||
+                   (!s->reported.draining.source && l->draining) ||
                    s->missing_since_us || s->unreadable;
     if (other_version) {
         g_free(s->version);
@@ -240,8 +240,8 @@
     s->slots = (uint32_t)l->slots;
     /* A draining endpoint does not return to service in the same
        incarnation. */
-    if (l->draining && !s->reported.leaving.from)
-        s->reported.leaving.from = WP_FROM_LIST;
+    if (l->draining && !s->reported.draining.source)
+        s->reported.draining.source = WP_DRAINING_FROM_REGISTRY;
     s->reported.cold_until_us = now.mono_us + l->cold_left_ms * WP_US_PER_MS;
     return changed;
 }
--- a/src/wp_fleet.h
+++ b/src/wp_fleet.h
@@ -26,7 +26,7 @@
     bool remote_zone;        /* in another zone than this box */
     const char *area;        /* of its zone; interned; NULL: not known */
     uint32_t slots;
-    WPSaid reported;     /* by the endpoint itself; see wp_notice.h */
+    WPEndpointNotices reported; /* by the endpoint itself; see wp_notice.h */
     bool zone_evacuated; /* an operator's order: nothing is sent to its zone */
     bool unreadable;     /* its registry entry cannot be read at present */
     bool gone; /* removed from the registry; kept while requests run on it */
--- a/src/wp_fleet_exclusion.c
+++ b/src/wp_fleet_exclusion.c
@@ -51,7 +51,7 @@
         return WP_EXCLUDED_UNREGISTERED;
     if (s->zone_evacuated)
         return WP_EXCLUDED_ZONE;
-    return s->reported.leaving.from ? WP_EXCLUDED_DRAINING : WP_NOT_EXCLUDED;
+    return s->reported.draining.source ? WP_EXCLUDED_DRAINING : WP_NOT_EXCLUDED;
 }
 
 static int64_t warm_at_us(const WPReplica *s)
@@ -116,7 +116,7 @@
 {
     switch (exclusion) {
     case WP_EXCLUDED_BACKOFF:
-        return s->reported.rest_until_us;
+        return s->reported.backoff_until_us;
     case WP_EXCLUDED_COLD:
         return MIN(warm_at_us(s), cold_next_send_us(f, s));
     case WP_EXCLUDED_LIMIT:
--- a/src/wp_fleet_learn.c
+++ b/src/wp_fleet_learn.c
@@ -58,9 +58,9 @@
    known: the boxes there send their updates only to each other. */
 static bool has_reported_no_load(const WPReplica *s, WPTime now)
 {
-    if (!s->reported.load_us)
+    if (!s->reported.load_reported_us)
         return !s->remote_zone;
-    return s->reported.rest_until_us > s->reported.load_us &&
+    return s->reported.backoff_until_us > s->reported.load_reported_us &&
            !wp_fleet_is_backing_off(s, now);
 }
 
@@ -301,8 +301,8 @@
 void wp_fleet_record_slowdown(WPReplica *s, uint32_t percent)
 {
     double v = CLAMP(percent / SLOWDOWN_USUAL, SLOWDOWN_MIN, SLOWDOWN_MAX);
-    double old = s->reported.pace > 0 ? s->reported.pace : v;
-    s->reported.pace = old + SLOWDOWN_WEIGHT * (v - old);
+    double old = s->reported.slowdown > 0 ? s->reported.slowdown : v;
+    s->reported.slowdown = old + SLOWDOWN_WEIGHT * (v - old);
 }
 
 void wp_fleet_set_load(WPReplica *s, WPTime now, uint32_t running,
@@ -311,7 +311,7 @@
     s->reported.running = running;
     s->reported.waiting = waiting;
     s->sent_since_load = 0;
-    s->reported.load_us = now.mono_us;
+    s->reported.load_reported_us = now.mono_us;
     if (slots)
         s->slots = slots;
 }
--- a/src/wp_fleet_notice.c
+++ b/src/wp_fleet_notice.c
@@ -52,9 +52,9 @@
     return u;
 }
 
-static void set_draining(WPFleet *f, WPReplica *s, WPNoticeFrom from)
+static void set_draining(WPFleet *f, WPReplica *s, WPDrainingSource from)
 {
-    s->reported.leaving = (WPLeaving){ .from = from, .untold = true };
+    s->reported.draining = (WPDraining){ .source = from, .unsent = true };
     f->draining_unsent = true;
     g_ptr_array_add(f->draining, s);
 }
@@ -79,14 +79,15 @@
    the first one's update and sends none. */
 static void mark_backoff_unsent(WPFleet *f, WPTime now, WPReplica *s)
 {
-    int64_t until_us = remote_backoff_until_us(now, s->reported.rest_until_us);
-    if (until_us <
-        s->reported.rest_known_us + BACKOFF_UPDATE_MIN_MS * WP_US_PER_MS)
+    int64_t until_us =
+        remote_backoff_until_us(now, s->reported.backoff_until_us);
+    if (until_us < s->reported.shared_backoff_until_us +
+                       BACKOFF_UPDATE_MIN_MS * WP_US_PER_MS)
         return;
-    s->reported.rest_known_us = until_us;
-    if (!s->reported.rest_untold)
+    s->reported.shared_backoff_until_us = until_us;
+    if (!s->reported.backoff_unsent)
         g_ptr_array_add(f->unsent_backoffs, s);
-    s->reported.rest_untold = true;
+    s->reported.backoff_unsent = true;
     f->backoffs_unsent = true;
 }
 
@@ -94,7 +95,7 @@
 {
     if (!g_ptr_array_find(f->backing_off, s, NULL))
         g_ptr_array_add(f->backing_off, s);
-    s->reported.rest_until_us = MAX(s->reported.rest_until_us, until_us);
+    s->reported.backoff_until_us = MAX(s->reported.backoff_until_us, until_us);
 }
 
 bool wp_fleet_record_draining(WPFleet *f, WPReplica *s, WPTime now)
@@ -104,10 +105,10 @@
         get_unregistered(f, now, s->incarnation_hash)->draining = true;
     /* What the endpoint itself reports outlives its registry entry, so it
        replaces a state that came from the registry. */
-    if (!l || l->reported.leaving.from > WP_FROM_LIST)
+    if (!l || l->reported.draining.source > WP_DRAINING_FROM_REGISTRY)
         return false;
-    bool is_new = !l->reported.leaving.from;
-    set_draining(f, l, WP_FROM_ANSWER);
+    bool is_new = !l->reported.draining.source;
+    set_draining(f, l, WP_DRAINING_FROM_ENDPOINT);
     return is_new;
 }
 
@@ -138,8 +139,9 @@
     WPReplica *s = wp_fleet_by_hash(f, n->endpoint);
     int64_t until_us = now.mono_us + (int64_t)n->left_ms * WP_US_PER_MS;
     if (s)
-        s->reported.rest_known_us = MAX(s->reported.rest_known_us,
-                                        remote_backoff_until_us(now, until_us));
+        s->reported.shared_backoff_until_us =
+            MAX(s->reported.shared_backoff_until_us,
+                remote_backoff_until_us(now, until_us));
 }
 
 size_t wp_fleet_take_unsent_backoffs(WPFleet *f, WPTime now,
@@ -148,8 +150,8 @@
     size_t n = 0;
     while (f->unsent_backoffs->len && n < max) {
         WPReplica *s = g_ptr_array_steal_index_fast(f->unsent_backoffs, 0);
-        int64_t left_us = s->reported.rest_known_us - now.mono_us;
-        s->reported.rest_untold = false;
+        int64_t left_us = s->reported.shared_backoff_until_us - now.mono_us;
+        s->reported.backoff_unsent = false;
         if (left_us > 0)
             out[n++] = (WPBackoffUpdate){ s->incarnation_hash,
                                           (uint32_t)(left_us / WP_US_PER_MS) };
@@ -165,16 +167,16 @@
 
 bool wp_fleet_is_backing_off(const WPReplica *s, WPTime now)
 {
-    return s->reported.rest_until_us > now.mono_us;
+    return s->reported.backoff_until_us > now.mono_us;
 }
 
 bool wp_fleet_should_report_bad_field(WPReplica *s, WPTime now)
 {
-    int64_t age_us = now.mono_us - s->reported.bad_us;
-    if (s->reported.bad_us &&
+    int64_t age_us = now.mono_us - s->reported.invalid_logged_us;
+    if (s->reported.invalid_logged_us &&
         age_us < (int64_t)BAD_FIELD_INTERVAL_MS * WP_US_PER_MS)
         return false;
-    s->reported.bad_us = now.mono_us;
+    s->reported.invalid_logged_us = now.mono_us;
     return true;
 }
 
@@ -185,9 +187,9 @@
         get_unregistered(f, now, incarnation)->draining = true;
         return NULL;
     }
-    if (s->reported.leaving.from)
+    if (s->reported.draining.source)
         return NULL;
-    set_draining(f, s, WP_FROM_BOX);
+    set_draining(f, s, WP_DRAINING_FROM_BOX);
     return s;
 }
 
@@ -199,14 +201,14 @@
     f->draining_unsent = false;
     for (guint i = 0; i < f->draining->len; i++) {
         WPReplica *s = g_ptr_array_index(f->draining, i);
-        if (!s->reported.leaving.untold)
+        if (!s->reported.draining.unsent)
             continue;
         if (n == max) {
             f->draining_unsent = true;
             break;
         }
         out[n++] = s->incarnation_hash;
-        s->reported.leaving.untold = false;
+        s->reported.draining.unsent = false;
     }
     return n;
 }
@@ -243,7 +245,7 @@
     g_hash_table_iter_init(&it, f->by_id);
     while (g_hash_table_iter_next(&it, NULL, &p)) {
         const WPReplica *s = p;
-        n.draining += s->reported.leaving.from != WP_FROM_NOBODY;
+        n.draining += s->reported.draining.source != WP_DRAINING_NONE;
         n.backing_off += wp_fleet_is_backing_off(s, now);
     }
     return n;
@@ -251,12 +253,12 @@
 
 void wp_fleet_save_notices(WPFleet *f, WPTime now, const WPReplica *s)
 {
-    bool is_draining = s->reported.leaving.from > WP_FROM_LIST;
+    bool is_draining = s->reported.draining.source > WP_DRAINING_FROM_REGISTRY;
     if (!is_draining && !wp_fleet_is_backing_off(s, now))
         return;
     Unregistered *u = get_unregistered(f, now, s->incarnation_hash);
     u->draining = is_draining;
-    u->backoff_until_us = s->reported.rest_until_us;
+    u->backoff_until_us = s->reported.backoff_until_us;
 }
 
 void wp_fleet_restore_notices(WPFleet *f, WPReplica *s)
@@ -266,7 +268,7 @@
     if (!u)
         return;
     if (u->draining)
-        set_draining(f, s, WP_FROM_BOX);
+        set_draining(f, s, WP_DRAINING_FROM_BOX);
     if (u->backoff_until_us)
         set_backoff(f, s, u->backoff_until_us);
     g_hash_table_remove(f->unregistered, &s->incarnation_hash);
--- a/src/wp_fleet_pick.c
+++ b/src/wp_fleet_pick.c
@@ -107,7 +107,7 @@
         v += AVOIDED_PENALTY;
     if (s->reported.cold_until_us > now.mono_us)
         v += COLD_PENALTY;
-    if (s->reported.rest_known_us > now.mono_us)
+    if (s->reported.shared_backoff_until_us > now.mono_us)
         v += REMOTE_BACKOFF_PENALTY;
     if (wp_fleet_limit_of(s) > 0)
         v -= limit_bonus(s->reported.limit, now);
@@ -224,7 +224,7 @@
     *source = NULL;
     if (!q->prompt)
         return (WPTtfbInputs){ .load = wp_fleet_load_of(s, now),
-                               .slowdown = s->reported.pace };
+                               .slowdown = s->reported.slowdown };
     wp_cache_holders_find(&holders, now, q, list);
     uint32_t cached =
         wp_prefix_cache_match(s->prefix_cache, now, q->model, q->prompt);
--- a/src/wp_fleet_updates.c
+++ b/src/wp_fleet_updates.c
@@ -70,8 +70,8 @@
 void wp_fleet_merge_load(WPReplica *s, WPTime now, uint32_t running,
                          uint32_t waiting)
 {
-    if (!s->reported.load_us ||
-        now.mono_us - s->reported.load_us > REMOTE_LOAD_MAX_AGE_US)
+    if (!s->reported.load_reported_us ||
+        now.mono_us - s->reported.load_reported_us > REMOTE_LOAD_MAX_AGE_US)
         wp_fleet_set_load(s, now, running, waiting, 0);
 }
 
@@ -85,8 +85,8 @@
 
 bool wp_fleet_is_load_fresh(const WPReplica *s, WPTime now)
 {
-    return s->reported.load_us &&
-           now.mono_us - s->reported.load_us < LOAD_FRESH_US;
+    return s->reported.load_reported_us &&
+           now.mono_us - s->reported.load_reported_us < LOAD_FRESH_US;
 }
 
 WPCohort *wp_fleet_cohort(WPFleet *f, const WPReplica *s)
@@ -102,7 +102,7 @@
 
 static bool is_averaged(const WPReplica *s, const WPCohort *c, WPTime now)
 {
-    return s->cohort == c && !s->remote_zone && !s->reported.leaving.from &&
+    return s->cohort == c && !s->remote_zone && !s->reported.draining.source &&
            s->slots && wp_fleet_is_load_fresh(s, now);
 }
 
--- a/src/wp_flow.c
+++ b/src/wp_flow.c
@@ -67,7 +67,7 @@
                           .old_version = old };
     if (old)
         sh->old_running++;
-    wp_suspects_sent(f->d->suspects, now, f->hash);
+    wp_suspects_attempt_started(f->d->suspects, now, f->hash);
     /* From now on the session is on this version, also for requests that come
        before this one is answered. */
     if (f->session)
@@ -89,7 +89,7 @@
     wp_flow_learn_load(f, now, leg, how);
     if (leg->old_version && sh && sh->old_running)
         sh->old_running--;
-    wp_suspects_left(f->d->suspects, f->hash);
+    wp_suspects_attempt_ended(f->d->suspects, f->hash);
     wp_fleet_request_ended(leg->replica, now, how);
     wp_replica_unref(leg->replica);
 }
@@ -114,7 +114,7 @@
     bool exhausted =
         f->ran >= f->route->max_attempts || f->refused >= REFUSALS_MOST;
     if (exhausted || wp_flow_left_ms(f, now) <= 0 ||
-        !wp_suspects_may_go_on(d->suspects, now, f->hash))
+        !wp_suspects_may_retry(d->suspects, now, f->hash))
         return false;
     WPReplica *s = wp_flow_choose(f, now);
     if (!s)
@@ -251,13 +251,13 @@
 {
     switch (
         wp_suspects_admit(f->d->suspects, now, f->hash, wp_flow_version(s))) {
-    case WP_SUSPECT_FREE:
+    case WP_SUSPECT_ADMITTED:
         begin_leg(f, now, s, WP_WHY_FIRST, out);
         return;
-    case WP_SUSPECT_BUSY:
+    case WP_SUSPECT_IN_FLIGHT:
         *out = move_fail(WP_IN_DOUBT, IN_DOUBT_MS);
         break;
-    case WP_SUSPECT_OUT:
+    case WP_SUSPECT_QUARANTINED:
         *out = move_fail(WP_KEPT_OUT, KEPT_OUT_REQUEST_MS);
         break;
     }
@@ -500,7 +500,7 @@
     wp_flow_learn_pause(f);
     note_session(f, now);
     end_this(f, now, WP_OUTCOME_OK);
-    if (wp_suspects_whole(f->d->suspects, now, f->hash))
+    if (wp_suspects_completed(f->d->suspects, now, f->hash))
         wp_count(&f->d->counters, WP_C_SUSPECTS_CLEARED);
     wp_count(&f->d->counters, WP_C_ANSWERED);
     wp_histogram_add(&f->d->counters.whole, now.mono_us - f->start_us);
--- a/src/wp_flow_head.c
+++ b/src/wp_flow_head.c
@@ -6,7 +6,7 @@
 {
     /* A 429 that has run may be the application's word to one caller. */
     bool refuses = a->status == 503 || (a->status == 429 && a->not_run);
-    return !a->wrong && refuses && a->rest.rest_s > 0;
+    return !a->wrong && refuses && a->rest.backoff_s > 0;
 }
 
 static void hear_limit(WPFlow *f, WPTime now, const WPDirectAnswer *a,
@@ -20,9 +20,9 @@
 
 static const char *bad_field(const WPDirectAnswer *a)
 {
-    if (a->leaving.said == WP_NOTICE_BAD)
+    if (a->leaving.status == WP_NOTICE_INVALID)
         return "leaving";
-    return a->rest.said == WP_NOTICE_BAD ? "rest" : NULL;
+    return a->rest.status == WP_NOTICE_INVALID ? "rest" : NULL;
 }
 
 /* An endpoint's answer shows that the request began to run: a stream's head
@@ -50,13 +50,14 @@
         wp_fleet_record_load(fleet, s, now, a->running, a->waiting, a->slots);
     if (a->pace)
         wp_fleet_record_slowdown(s, a->pace);
-    wp_suspects_alive(f->d->suspects, now, s->incarnation_hash, f->leg.sent_us);
+    wp_suspects_endpoint_alive(f->d->suspects, now, s->incarnation_hash,
+                               f->leg.sent_us);
     note_usage(f, now, a);
     hear_limit(f, now, a, out);
-    if (a->leaving.said == WP_NOTICE_GIVEN)
+    if (a->leaving.status == WP_NOTICE_PRESENT)
         out->leaves = wp_fleet_record_draining(fleet, s, now);
     if (wp_flow_asks_for_rest(a))
-        out->rests = wp_fleet_record_backoff(fleet, s, now, a->rest.rest_s);
+        out->rests = wp_fleet_record_backoff(fleet, s, now, a->rest.backoff_s);
     out->bad = bad_field(a);
     if (out->bad && !wp_fleet_should_report_bad_field(s, now))
         out->bad = NULL;
--- a/src/wp_flow_int.h
+++ b/src/wp_flow_int.h
@@ -57,11 +57,11 @@
 void wp_flow_note_first(WPFlow *f, WPTime now);
 
 /* What the leg tells of the version that it was on; once a leg. */
-void wp_flow_judge(WPFlow *f, bool failed, WPShiftTime time);
+void wp_flow_judge(WPFlow *f, bool failed, WPAnswerTime time);
 
 /* How a time lies among the old version's; `what`: with whose times it is
    compared. */
-WPShiftTime wp_flow_judge_time(WPFlow *f, const char *what, double us);
+WPAnswerTime wp_flow_judge_time(WPFlow *f, const char *what, double us);
 
 /* What a whole stream tells of pauses at its endpoint. */
 void wp_flow_learn_pause(WPFlow *f);
--- a/src/wp_flow_learn.c
+++ b/src/wp_flow_learn.c
@@ -100,7 +100,7 @@
 }
 
 /* What the leg tells of the version that it was on; once a leg. */
-void wp_flow_judge(WPFlow *f, bool failed, WPShiftTime time)
+void wp_flow_judge(WPFlow *f, bool failed, WPAnswerTime time)
 {
     WPShift *sh = wp_flow_shift(f);
     if (f->leg.judged || !f->leg.replica)
@@ -109,19 +109,19 @@
     if (!sh || sh->state != WP_SHIFT_RUNNING)
         return;
     if (is_on_trial(f) && f->leg.loaded)
-        wp_trial_loaded(&sh->trial, f->leg.replica->id, failed);
-    const WPShiftAnswer a = { .version = f->leg.replica->version,
-                              .replica = f->leg.replica->id,
-                              .route = f->route->name,
-                              .failed = failed,
-                              .time = time,
-                              .taken = f->leg.taken };
-    wp_shift_answered(sh, &a);
+        wp_canary_record_loaded(&sh->canary, f->leg.replica->id, failed);
+    const WPCanaryAnswer a = { .version = f->leg.replica->version,
+                               .replica = f->leg.replica->id,
+                               .route = f->route->name,
+                               .failed = failed,
+                               .time = time,
+                               .utilization = f->leg.taken };
+    wp_shift_record_answer(sh, &a);
 }
 
 /* How a time lies among the old version's, by bounds that this box learns. A
    crowded endpoint's tell nothing. `what`: with whose times it is compared. */
-WPShiftTime wp_flow_judge_time(WPFlow *f, const char *what, double us)
+WPAnswerTime wp_flow_judge_time(WPFlow *f, const char *what, double us)
 {
     WPQuartiles *u = wp_direct_usual(f->d, what, wp_flow_model(f));
     double lower = wp_quartiles_lower(u), upper = wp_quartiles_upper(u);
@@ -132,10 +132,11 @@
     if (upper <= 0)
         return WP_TIME_UNKNOWN;
     if (is_plain(f) || upper < NARROW_TIMES * lower)
-        return us > FAR_TIMES * upper ? WP_TIME_FAR : WP_TIME_NEAR;
+        return us > FAR_TIMES * upper ? WP_TIME_RATIO_SLOW
+                                      : WP_TIME_RATIO_NORMAL;
     if (us > upper)
         return WP_TIME_SLOW;
-    return us < lower ? WP_TIME_FAST : WP_TIME_USUAL;
+    return us < lower ? WP_TIME_FAST : WP_TIME_MIDDLE;
 }
 
 /* A slow version may begin its answers in time and then make their events
@@ -168,8 +169,8 @@
 void wp_flow_progress(WPFlow *f, WPTime now, uint64_t events)
 {
     note_gap(f, now, events);
-    wp_suspects_alive(f->d->suspects, now, f->leg.replica->incarnation_hash,
-                      f->leg.sent_us);
+    wp_suspects_endpoint_alive(
+        f->d->suspects, now, f->leg.replica->incarnation_hash, f->leg.sent_us);
     if (events >= PACE_EVENTS && !f->leg.judged)
         wp_flow_judge_pace(f, now, events);
 }
@@ -193,5 +194,5 @@
     double upper = wp_quartiles_upper(
         wp_direct_usual(f->d, f->route->name, wp_flow_model(f)));
     if (upper > 0 && us > FAR_TIMES * upper && !f->leg.crowded)
-        wp_flow_judge(f, false, WP_TIME_FAR);
+        wp_flow_judge(f, false, WP_TIME_RATIO_SLOW);
 }
--- a/src/wp_flow_pick.c
+++ b/src/wp_flow_pick.c
@@ -31,7 +31,7 @@
 static bool version_allowed(void *arg, const char *version)
 {
     const WPFlow *f = arg;
-    return wp_shifts_allow(f->d->shifts, f->service->name, version);
+    return wp_shifts_allows(f->d->shifts, f->service->name, version);
 }
 
 /* Of the versions that a move does not lead to. */
@@ -63,7 +63,7 @@
         .tried = f->tried,
         .n_tried = f->n_tried,
         .non_repeatable = !wp_flow_may_repeat(f),
-        .endpoint_losses = wp_suspects_count(f->d->suspects, f->hash),
+        .endpoint_losses = wp_suspects_crash_count(f->d->suspects, f->hash),
         .priority = f->priority,
         .random = f->draw,
         .areas = f->route->areas,
@@ -105,8 +105,8 @@
     WPDirect *d = f->d;
     const char *last =
         f->session ? wp_direct_session(d, now, f->session) : NULL;
-    bool new_side = wp_shift_takes(d->shifts, sh, now,
-                                   wp_direct_place(d, now, sh, f->unit), last);
+    bool new_side = wp_shift_routes_to_new(
+        d->shifts, sh, now, wp_direct_place(d, now, sh, f->unit), last);
     if (new_side)
         w.version = sh->version;
     else
@@ -160,7 +160,8 @@
     if (!f->session || !sh || sh->state != WP_SHIFT_RUNNING)
         return 0;
     const char *last = wp_direct_session(f->d, now, f->session);
-    if (!last || !strcmp(last, WP_VERSION_OLD) || !wp_shift_has_left(sh, last))
+    if (!last || !strcmp(last, WP_VERSION_OLD) ||
+        !wp_shift_has_retired(sh, last))
         return 0;
     return wp_direct_session_left_ms(f->d, now, f->session);
 }
--- a/src/wp_flow_suspect.c
+++ b/src/wp_flow_suspect.c
@@ -5,7 +5,7 @@
 
 bool wp_flow_is_single(const WPFlow *f)
 {
-    return wp_suspects_count(f->d->suspects, f->hash) >= SINGLE_FROM;
+    return wp_suspects_crash_count(f->d->suspects, f->hash) >= SINGLE_FROM;
 }
 
 uint64_t wp_flow_version(const WPReplica *s)
@@ -27,8 +27,8 @@
    fails under load, which is then spared for 30 s (test_loaded). */
 WPAttemptOutcome wp_flow_ended_how(const WPFlow *f, WPLoss how)
 {
-    bool gone =
-        wp_suspects_is_gone(f->d->suspects, f->leg.replica->incarnation_hash);
+    bool gone = wp_suspects_is_presumed_dead(f->d->suspects,
+                                             f->leg.replica->incarnation_hash);
     if (how == WP_LOSS_SILENT || gone)
         return WP_OUTCOME_NO_RESPONSE;
     bool stream = f->route->repeat == WP_REPEAT_STREAM;
@@ -38,8 +38,9 @@
 void wp_flow_note_ended(WPFlow *f, WPTime now)
 {
     const WPReplica *s = f->leg.replica;
-    const WPSuspectRun run = { f->hash, s->incarnation_hash, wp_flow_version(s),
-                               f->leg.sent_us, f->leg.first_us };
+    const WPSuspectAttempt run = { f->hash, s->incarnation_hash,
+                                   wp_flow_version(s), f->leg.sent_us,
+                                   f->leg.first_us };
     wp_count(&f->d->counters, WP_C_ENDED_UNDER);
-    f->ended = wp_suspects_ended(f->d->suspects, now, &run);
+    f->ended = wp_suspects_record_crash(f->d->suspects, now, &run);
 }
--- a/src/wp_guard.h
+++ b/src/wp_guard.h
@@ -1,31 +1,49 @@
-/* Guards that a scenario may switch off, to see that what they guard breaks
- * without them. The setting test_off names them; it takes effect only beside
- * test_hooks. */
+/* Guards that a scenario may disable, to verify that the failure which each of
+ * them prevents does occur without it. The setting test_off lists the disabled
+ * guards by name; it has an effect only together with test_hooks. */
 #ifndef WP_GUARD_H
 #define WP_GUARD_H
 
 #include "settings.pb-c.h"
 #include "wp_base.h"
 
-/* X(name, text) */
+/* X(name, text): `text` is the guard's name in the setting test_off. */
 #define WP_GUARD_LIST(X)                                                       \
-    X(ALLOWED, "allowed")   /* agent: the version may serve this traffic */    \
-    X(ONCE, "once")         /* agent: keys that may not be repeated */         \
-    X(STALE, "stale")       /* agent: the age of the configuration */          \
-    X(HOLD, "hold")         /* agent: waits for the entry's revision */        \
-    X(LEAVING, "leaving")   /* agent: refuses while it leaves */               \
-    X(HANDOVER, "handover") /* agent: passes keys on when it leaves */         \
-    X(SESSION, "session")   /* entry: sessions keep their version */           \
-    X(UNKNOWN, "unknown")   /* entry: a lost link means unknown */             \
-    X(WHOLE, "whole")       /* entry: a cut answer is not whole */             \
-    X(TAKEOVER, "takeover") /* entry: bills of dead agents */                  \
-    X(WITNESS, "witness")   /* entry: another entry keeps copies of bills */   \
-    X(BILL_RETRY, "bill_retry") /* both: a batch is written until it is in */  \
-    X(BOXES, "boxes")           /* both: the platform's list of boxes */       \
-    X(DRAIN, "drain")           /* both: a planned stop ends requests first */ \
-    X(PEERS, "peers")           /* both: start from peers, the store down */   \
-    X(STOP_BAD, "stop_bad")     /* entry: automatic stop of bad versions */    \
-    X(REDIRECT, "redirect")     /* entry: a refusal by one agent is retried */
+    /* agent: rejects traffic that the version may not serve */                \
+    X(ALLOWED, "allowed")                                                      \
+    /* agent: rejects repeated idempotency keys */                             \
+    X(ONCE, "once")                                                            \
+    /* agent: rejects requests when its configuration is too old for them */   \
+    X(STALE, "stale")                                                          \
+    /* agent: holds a request until it has the entry's revision */             \
+    X(HOLD, "hold")                                                            \
+    /* agent: rejects requests while it is draining */                         \
+    X(LEAVING, "leaving")                                                      \
+    /* agent: hands its idempotency keys over when it is draining */           \
+    X(HANDOVER, "handover")                                                    \
+    /* entry: keeps sessions on their version */                               \
+    X(SESSION, "session")                                                      \
+    /* entry: takes the outcome of a request as unknown when the link to the   \
+       agent is lost */                                                        \
+    X(UNKNOWN, "unknown")                                                      \
+    /* entry: does not take a truncated answer as complete */                  \
+    X(WHOLE, "whole")                                                          \
+    /* entry: takes over the bills of dead agents */                           \
+    X(TAKEOVER, "takeover")                                                    \
+    /* entry: another entry keeps copies of its bills */                       \
+    X(WITNESS, "witness")                                                      \
+    /* entry and agent: retry writing a bill batch until it is stored */       \
+    X(BILL_RETRY, "bill_retry")                                                \
+    /* entry and agent: use the platform's list of boxes */                    \
+    X(BOXES, "boxes")                                                          \
+    /* entry and agent: finish running requests before a planned stop */       \
+    X(DRAIN, "drain")                                                          \
+    /* entry and agent: start from peers while the store is unavailable */     \
+    X(PEERS, "peers")                                                          \
+    /* entry: withdraws bad versions automatically */                          \
+    X(STOP_BAD, "stop_bad")                                                    \
+    /* entry: retries a request that one agent refused */                      \
+    X(REDIRECT, "redirect")
 
 typedef enum WPGuard {
 #define X(name, text) WP_GUARD_##name,
@@ -34,6 +52,7 @@
         WP_GUARD_COUNT
 } WPGuard;
 
-bool wp_guard_off(const Wp__NodeSettings *s, WPGuard g);
+/* Whether the settings disable guard `g`. */
+bool wp_guard_is_disabled(const Wp__NodeSettings *s, WPGuard g);
 
 #endif
--- a/src/wp_node_store.c
+++ b/src/wp_node_store.c
@@ -25,8 +25,8 @@
     /* With the store answering, its head decides. A peer's word that it knew
        the newest a moment ago is as good; with the store down, peers alone. */
     bool by_store = n->store_up && n->head_seen;
-    bool heard =
-        heard_enough(n, now) && !wp_guard_off(n->settings, WP_GUARD_PEERS);
+    bool heard = heard_enough(n, now) &&
+                 !wp_guard_is_disabled(n->settings, WP_GUARD_PEERS);
     bool by_fresh = heard && n->confirmed &&
                     now.mono_us - n->confirmed_us < WP_START_FRESH_US;
     bool by_peers = heard && n->store_asked_once && !n->store_up;
@@ -244,7 +244,7 @@
         bool known_long = now.mono_us - r->first_us > WP_LIST_GRACE_US;
         if (!strcmp(r->m->id, n->self->id))
             continue;
-        if (wp_guard_off(n->settings, WP_GUARD_BOXES))
+        if (wp_guard_is_disabled(n->settings, WP_GUARD_BOXES))
             continue;
         if (b && b->leaving && !r->m->leaving)
             mark(n, now, r, false);
--- a/src/wp_notice.c
+++ b/src/wp_notice.c
@@ -1,16 +1,16 @@
-/* What endpoints say of themselves. */
+/* Parses the notices in endpoints' answers. */
 #define _GNU_SOURCE /* strptime */
 #include "wp_notice.h"
 
 #include <time.h>
 
-enum { DATE_MOST = 64 /* bytes of a date */ };
+enum { DATE_MAX = 64 /* bytes of an HTTP date, with the final zero byte */ };
 
-/* A date as HTTP writes it ("Sun, 06 Nov 1994 08:49:37 GMT"); false when it is
-   none. */
-static bool read_date(WPStr s, int64_t *unix_ms)
+/* Parses an HTTP date ("Sun, 06 Nov 1994 08:49:37 GMT") into Unix milliseconds.
+   Returns false if `s` is not one. */
+static bool parse_date(WPStr s, int64_t *unix_ms)
 {
-    char text[DATE_MOST];
+    char text[DATE_MAX];
     struct tm t = { 0 };
     if (s.n >= sizeof(text))
         return false;
@@ -23,26 +23,27 @@
     return true;
 }
 
-WPNoticeField wp_notice_read_leaving(WPStr text, unsigned times)
+WPNoticeField wp_notice_read_draining(WPStr text, unsigned times)
 {
-    bool so = times == 1 && wp_str_eq(wp_str_trim(text), wp_str("1"));
+    bool valid = times == 1 && wp_str_eq(wp_str_trim(text), wp_str("1"));
     if (!times)
         return (WPNoticeField){ 0 };
-    return (WPNoticeField){ .said = so ? WP_NOTICE_GIVEN : WP_NOTICE_BAD };
+    return (WPNoticeField){ .status =
+                                valid ? WP_NOTICE_PRESENT : WP_NOTICE_INVALID };
 }
 
-WPNoticeField wp_notice_read_rest(WPStr text, unsigned times, WPTime now)
+WPNoticeField wp_notice_read_backoff(WPStr text, unsigned times, WPTime now)
 {
-    WPNoticeField f = { .said = WP_NOTICE_GIVEN };
+    WPNoticeField f = { .status = WP_NOTICE_PRESENT };
     WPStr s = wp_str_trim(text);
     int64_t unix_ms;
     if (!times)
         return (WPNoticeField){ 0 };
-    if (times == 1 && wp_str_decimal(s, &f.rest_s))
+    if (times == 1 && wp_str_decimal(s, &f.backoff_s))
         return f;
-    if (times == 1 && read_date(s, &unix_ms)) {
-        f.rest_s = MAX((double)(unix_ms - now.wall_ms) / WP_MS_PER_S, 0);
+    if (times == 1 && parse_date(s, &unix_ms)) {
+        f.backoff_s = MAX((double)(unix_ms - now.wall_ms) / WP_MS_PER_S, 0);
         return f;
     }
-    return (WPNoticeField){ .said = WP_NOTICE_BAD };
+    return (WPNoticeField){ .status = WP_NOTICE_INVALID };
 }
--- a/src/wp_notice.h
+++ b/src/wp_notice.h
@@ -1,65 +1,86 @@
-/* What an endpoint has said of itself, in one place. Of each word: from whom,
- * whom it binds, what ends it, and whether it bars or only weighs:
+/* Notices: what an endpoint reports about itself. For each kind of notice this
+ * list gives its sources, the boxes that it applies to, what ends it, and its
+ * effect: it either excludes the endpoint from requests or only lowers the
+ * endpoint's rank among the candidates.
  *
- * - leaving: the list, answers, boxes; each box; its life; bars
- * - rest: a refusal to this box; this box; its time or its life; bars
- * - rest of others: boxes that were told; nobody; some seconds; weighs
- * - limit: answers, boxes; all boxes together; an answer without it; bars
- * - cold: the list; all boxes together; its time; bars
- * - load: answers, boxes of the zone; nobody; its age; weighs
- * - pace: answers; nobody; follows slowly; weighs
+ * - draining: from the registry, the endpoint's answers and other boxes;
+ *   applies to every box; ends with the endpoint's incarnation; excludes
+ * - back-off: from a refusal to this box; applies to this box; ends after its
+ *   time or with the incarnation; excludes
+ * - back-off of other boxes: from boxes that were refused; applies to no box;
+ *   ends after some seconds; lowers the rank
+ * - limit: from answers and other boxes; applies to all boxes together; ends
+ *   with an answer that names none; excludes
+ * - cold: from the registry; applies to all boxes together; ends after its
+ *   time; excludes
+ * - load: from answers and boxes of the zone; applies to no box; ends when it
+ *   is too old; lowers the rank
+ * - slowdown: from answers; applies to no box; a moving mean; lowers the rank
  *
- * Limits and cold endpoints bar what is beyond a quota (wp_limit.h, wp_pace.h).
- * Each way to an endpoint asks wp_fleet_exclusion() (wp_fleet_exclusion.c).
- * Ways weighed: docs/design/what-endpoints-say.md. */
+ * A limit and the cold state exclude an endpoint only from requests beyond a
+ * quota (wp_limit.h, wp_pace.h). Each code path that sends requests to an
+ * endpoint asks wp_fleet_exclusion() (wp_fleet_exclusion.c) first. Alternatives
+ * considered: docs/design/what-endpoints-say.md. */
 #ifndef WP_NOTICE_H
 #define WP_NOTICE_H
 
 #include "wp_limit.h"
 
-typedef enum WPNoticeSaid {
-    WP_NOTICE_NONE,  /* nothing */
-    WP_NOTICE_GIVEN, /* that it is so */
-    WP_NOTICE_BAD    /* something that cannot be read */
-} WPNoticeSaid;
+/* Whether an answer carries a notice field. */
+typedef enum WPNoticeStatus {
+    WP_NOTICE_NONE,    /* it does not */
+    WP_NOTICE_PRESENT, /* it does, with a valid value */
+    WP_NOTICE_INVALID  /* it does, with an invalid value or more than once */
+} WPNoticeStatus;
 
-/* An answer's word. */
+/* A notice field of an answer, parsed. */
 typedef struct WPNoticeField {
-    WPNoticeSaid said;
-    double rest_s; /* of a rest; else 0 */
+    WPNoticeStatus status;
+    double backoff_s; /* of a valid back-off: seconds from now; otherwise 0 */
 } WPNoticeField;
 
-/* Who has told that an endpoint leaves. */
-typedef enum WPNoticeFrom {
-    WP_FROM_NOBODY,
-    WP_FROM_LIST,
-    WP_FROM_ANSWER, /* of its own, to this box */
-    WP_FROM_BOX     /* that was told so, and passed it on */
-} WPNoticeFrom;
+/* How this box knows that an endpoint is draining. */
+typedef enum WPDrainingSource {
+    WP_DRAINING_NONE,          /* it is not known to be draining */
+    WP_DRAINING_FROM_REGISTRY, /* from its registry entry */
+    WP_DRAINING_FROM_ENDPOINT, /* from an answer of the endpoint to this box */
+    WP_DRAINING_FROM_BOX       /* from another box, which had such an answer */
+} WPDrainingSource;
 
-typedef struct WPLeaving {
-    WPNoticeFrom from;
-    bool untold; /* other boxes are to hear of it */
-} WPLeaving;
+typedef struct WPDraining {
+    WPDrainingSource source;
+    bool unsent; /* still to be sent to the other boxes */
+} WPDraining;
 
-/* All that is believed; microseconds of this process's clock, 0: never. */
-typedef struct WPSaid {
-    WPLeaving leaving;
-    int64_t rest_until_us;
-    int64_t rest_known_us; /* the same to any box that this one hears */
-    bool rest_untold;
-    WPLimit *limit;            /* NULL: none was named */
-    int64_t cold_until_us;     /* by the list */
-    uint32_t running, waiting; /* its load */
-    int64_t load_us;           /* when that was told */
-    double pace; /* how long work takes there, 1: as usual, on the mean; 0: it
-                    does not say */
-    int64_t bad_us; /* when a bad field was last reported */
-} WPSaid;
+/* All notices of one endpoint that are in effect. Times are microseconds of
+   this process's monotonic clock; 0: never. */
+typedef struct WPEndpointNotices {
+    WPDraining draining;
+    int64_t backoff_until_us; /* this box sends no requests before */
 
-/* Reads a field, which the answer carries `times` times. A rest is a decimal
-   number of seconds or a date, and ends at once if that is over. */
-WPNoticeField wp_notice_read_leaving(WPStr text, unsigned times);
-WPNoticeField wp_notice_read_rest(WPStr text, unsigned times, WPTime now);
+    /* The latest end of a back-off that this box has sent to the others or
+       received from them, and whether it is still to be sent. */
+    int64_t shared_backoff_until_us;
+    bool backoff_unsent;
+
+    WPLimit *limit;            /* NULL: the endpoint has never named a limit */
+    int64_t cold_until_us;     /* from its registry entry */
+    uint32_t running, waiting; /* requests there, as last reported */
+    int64_t load_reported_us;  /* when those were reported */
+
+    /* Moving mean of the reported processing time, as a multiple of the usual
+       one; 0: not reported. */
+    double slowdown;
+
+    int64_t invalid_logged_us; /* when an invalid field was last logged */
+} WPEndpointNotices;
+
+/* Each parses one notice field of an answer. `text` is the field's value and
+   `times` how often the answer carries the field; more than once is invalid.
+   The only valid value of the draining field is "1". A back-off is a decimal
+   number of seconds or an HTTP date; a date that is past at `now` (wall-clock
+   time) gives a back-off of 0 seconds. */
+WPNoticeField wp_notice_read_draining(WPStr text, unsigned times);
+WPNoticeField wp_notice_read_backoff(WPStr text, unsigned times, WPTime now);
 
 #endif
--- a/src/wp_rollout.c
+++ b/src/wp_rollout.c
@@ -1,4 +1,5 @@
-/* The interpreter of roll-out charts, and the automatic stop. */
+/* The interpreter of roll-out charts, and the automatic withdrawal of bad
+ * versions. */
 #include "wp_rollout.h"
 #include "wp_code.h"
 #include "wp_pb.h"
@@ -17,7 +18,7 @@
     if (!missing)
         return c;
     g_set_error(error, WP_ERROR, WP_ERROR_INPUT,
-                "%s: state '%s' is led to but not described", file, missing);
+                "%s: state '%s' is used but not defined", file, missing);
     wp_pb_free(c);
     return NULL;
 }
@@ -40,6 +41,8 @@
     return NULL;
 }
 
+/* Adds to the roll-out's history that `share` takes effect at `at_ms` (Unix
+   milliseconds). */
 static void add_share(Wp__Rollout *r, double share, uint64_t at_ms)
 {
     Wp__SharePoint *point = calloc(1, sizeof(*point));
@@ -51,9 +54,10 @@
     r->history[r->n_history++] = point;
 }
 
-/* The roll-out object after it has entered `s`. */
-static Wp__Object *entered(const Wp__Rollout *old, const Wp__ChartState *s,
-                           WPTime now, const char *reason)
+/* Returns a copy of the roll-out that has entered state `s`, for the given
+   reason. Free it with wp_pb_free(). */
+static Wp__Object *enter_state(const Wp__Rollout *old, const Wp__ChartState *s,
+                               WPTime now, const char *reason)
 {
     Wp__Object wrap = WP__OBJECT__INIT;
     wrap.spec_case = WP__OBJECT__SPEC_ROLLOUT;
@@ -61,6 +65,7 @@
     Wp__Object *o = wp_pb_copy(&wrap.base);
     Wp__Rollout *r = o->rollout;
     uint64_t wall = (uint64_t)now.wall_ms;
+    /* An unset state points to the default value, which is not allocated. */
     if (r->state != r->base.descriptor->fields[3].default_value)
         free(r->state);
     r->state = strdup(s->name);
@@ -73,12 +78,12 @@
     if (s->share >= 0 && s->share != r->share) {
         r->has_share = 1;
         r->share = s->share;
-        add_share(r, s->share, wall + WP_SHARE_LEAD_MS);
+        add_share(r, s->share, wall + WP_SHARE_ACTIVATION_DELAY_MS);
     }
     return o;
 }
 
-/* A put of the version with its withdrawal set or lifted. */
+/* The operation that writes the version with its withdrawal set or lifted. */
 static Wp__Op *withdraw_op(const Wp__Version *old, bool withdrawn, WPTime now)
 {
     Wp__Object wrap = WP__OBJECT__INIT;
@@ -111,53 +116,59 @@
     return ops;
 }
 
-typedef struct WPWatched {
-    uint64_t fence; /* of the state that it is in */
-    int64_t since_us;
-    double ratings; /* of the new version when it was first seen */
-    bool rated;     /* sums of ratings were known at the last look */
-} WPWatched;
+/* What this box has observed of one roll-out. */
+typedef struct Observed {
+    uint64_t fence;   /* fencing token of the state that it is in */
+    int64_t since_us; /* when this box first saw it in this state; monotonic */
+    double ratings;   /* of the new version when the roll-out was first seen */
+    bool has_sums;    /* sums of ratings were known at the last poll */
+} Observed;
 
-void wp_watch_init(WPWatch *w)
+void wp_rollout_monitor_init(WPRolloutMonitor *w)
 {
-    w->seen = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    w->observed =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 }
 
-void wp_watch_end(WPWatch *w)
+void wp_rollout_monitor_end(WPRolloutMonitor *w)
 {
-    g_hash_table_unref(w->seen);
+    g_hash_table_unref(w->observed);
 }
 
-static void look_at(WPWatch *w, const WPRollout *r, const WPQuality *q,
+/* Updates the observations of one roll-out. */
+static void observe(WPRolloutMonitor *w, const WPRollout *r, const WPQuality *q,
                     WPTime now)
 {
-    WPWatched *d = g_hash_table_lookup(w->seen, r->spec->name);
+    Observed *d = g_hash_table_lookup(w->observed, r->spec->name);
     if (!d) {
-        d = g_new0(WPWatched, 1);
-        g_hash_table_insert(w->seen, g_strdup(r->spec->name), d);
+        d = g_new0(Observed, 1);
+        g_hash_table_insert(w->observed, g_strdup(r->spec->name), d);
     }
-    /* The first sums that a box hears are of the past; sums may be dropped. */
+    /* The first sums that a box receives are of ratings from before, and sums
+       may be reset. */
     double count = wp_quality_rating_count(q, r->spec->to);
-    if (!d->since_us || !d->rated || count < d->ratings)
+    if (!d->since_us || !d->has_sums || count < d->ratings)
         d->ratings = count;
-    d->rated = wp_quality_seq(q) > 0;
+    d->has_sums = wp_quality_seq(q) > 0;
     if (d->since_us && d->fence == r->spec->fence)
         return;
     d->fence = r->spec->fence;
     d->since_us = now.mono_us;
 }
 
-void wp_watch_look(WPWatch *w, const WPPolicy *p, const WPQuality *q,
-                   WPTime now)
+void wp_rollout_monitor_poll(WPRolloutMonitor *w, const WPPolicy *p,
+                             const WPQuality *q, WPTime now)
 {
     for (unsigned i = 0; i < wp_policy_rollouts(p); i++)
-        look_at(w, wp_policy_rollout_at(p, i), q, now);
+        observe(w, wp_policy_rollout_at(p, i), q, now);
 }
 
-/* The gate's event, or NULL to wait. */
-static const char *ask_gate(const Wp__ChartState *s, const WPRollout *r,
-                            const WPQuality *q, const WPWatched *d, bool dwelt,
-                            const char **why)
+/* Evaluates the gate of state `s`: returns the event that it gives, and its
+   reason in `*why`, or NULL while the roll-out is to stay in the state.
+   `dwelt`: the state has lasted for its dwell time. */
+static const char *evaluate_gate(const Wp__ChartState *s, const WPRollout *r,
+                                 const WPQuality *q, const Observed *d,
+                                 bool dwelt, const char **why)
 {
     const char *kind;
     bool held = !strcmp(s->gate, "hold") || !strcmp(s->gate, "watch");
@@ -174,9 +185,10 @@
     return "next";
 }
 
+/* The operations of the roll-out's next step; NULL if none is due. */
 static GPtrArray *step_one(const Wp__Chart *c, const WPPolicy *p,
                            const WPRollout *r, const WPQuality *q,
-                           const WPWatched *d, WPTime now, char **why)
+                           const Observed *d, WPTime now, char **why)
 {
     const Wp__ChartState *s = wp_chart_state(c, r->spec->state);
     const char *reason = NULL;
@@ -184,12 +196,12 @@
         return NULL;
     int64_t dwell_us = (int64_t)s->dwell_s * WP_US_PER_S;
     bool dwelt = now.mono_us - d->since_us >= dwell_us;
-    const char *event = ask_gate(s, r, q, d, dwelt, &reason);
+    const char *event = evaluate_gate(s, r, q, d, dwelt, &reason);
     const Wp__ChartState *to = event ? wp_chart_next(c, s->name, event) : NULL;
     if (!to)
         return NULL;
     GPtrArray *ops = g_ptr_array_new();
-    Wp__Object *o = entered(r->spec, to, now, reason);
+    Wp__Object *o = enter_state(r->spec, to, now, reason);
     g_ptr_array_add(ops, wp_op_put(o));
     wp_pb_free(o);
     if (!strcmp(event, "bad"))
@@ -201,14 +213,14 @@
 }
 
 GPtrArray *wp_rollout_step(const Wp__Chart *c, const WPPolicy *p,
-                           const WPQuality *q, const WPWatch *w, WPTime now,
-                           char **why)
+                           const WPQuality *q, const WPRolloutMonitor *w,
+                           WPTime now, char **why)
 {
     for (unsigned i = 0; i < wp_policy_rollouts(p); i++) {
         const WPRollout *r = wp_policy_rollout_at(p, i);
         if (wp_policy_version_at(p, r->to)->spec->withdrawn)
             continue;
-        const WPWatched *d = g_hash_table_lookup(w->seen, r->spec->name);
+        const Observed *d = g_hash_table_lookup(w->observed, r->spec->name);
         GPtrArray *ops = step_one(c, p, r, q, d, now, why);
         if (ops)
             return ops;
@@ -229,20 +241,23 @@
     }
     const Wp__ChartState *to = wp_chart_next(c, o->rollout->state, event);
     if (!to) {
-        g_set_error(error, WP_ERROR, WP_ERROR_INPUT,
-                    "roll-out '%s' is %s: '%s' leads nowhere from there", name,
-                    o->rollout->state, event);
+        g_set_error(
+            error, WP_ERROR, WP_ERROR_INPUT,
+            "roll-out '%s' is in state '%s', which has no transition on "
+            "event '%s'",
+            name, o->rollout->state, event);
         return NULL;
     }
     GPtrArray *ops = g_ptr_array_new();
-    Wp__Object *next = entered(o->rollout, to, now, "operator");
+    Wp__Object *next = enter_state(o->rollout, to, now, "operator");
     g_ptr_array_add(ops, wp_op_put(next));
     wp_pb_free(next);
     return ops;
 }
 
-/* Whether some workspace would be left without a version for some kind. */
-static bool last_one(const WPPolicy *p, unsigned version)
+/* Whether the version is the only one that some workspace may use for some kind
+   of request. */
+static bool is_last_version(const WPPolicy *p, unsigned version)
 {
     for (unsigned w = 0; w < wp_policy_workspaces(p); w++) {
         for (unsigned k = 0; k < wp_policy_kinds(p); k++) {
@@ -256,18 +271,19 @@
     return false;
 }
 
-GPtrArray *wp_stop_bad(const WPPolicy *p, const WPQuality *q, WPTime now,
-                       char **why)
+GPtrArray *wp_withdraw_bad_version(const WPPolicy *p, const WPQuality *q,
+                                   WPTime now, char **why)
 {
     const char *kind;
     for (unsigned i = 0; i < wp_policy_versions(p); i++) {
         const Wp__Version *v = wp_policy_version_at(p, i)->spec;
         if (v->withdrawn || !wp_quality_is_bad(q, v->name, &kind) ||
-            last_one(p, i))
+            is_last_version(p, i))
             continue;
         GPtrArray *ops = g_ptr_array_new();
         g_ptr_array_add(ops, withdraw_op(v, true, now));
-        *why = g_strdup_printf("%s withdrawn: bad at %s", v->name, kind);
+        *why = g_strdup_printf("%s withdrawn: ratings are bad for kind %s",
+                               v->name, kind);
         return ops;
     }
     return NULL;
--- a/src/wp_rollout.h
+++ b/src/wp_rollout.h
@@ -1,59 +1,71 @@
-/* Roll-outs, led by a state chart in a file. Any box may carry one on: a step
- * is a change of configuration that holds only if nothing else was changed
- * since the revision it was decided on, so a late writer always loses. */
+/* Roll-outs of versions, driven by a state chart that is read from a file. Any
+ * box may advance a roll-out. A step is a change of the configuration that is
+ * accepted only if the configuration is still at the revision that the step was
+ * decided on, so a box that writes late always fails. */
 #ifndef WP_ROLLOUT_H
 #define WP_ROLLOUT_H
 
 #include "settings.pb-c.h"
 #include "wp_quality.h"
 
-/* How far ahead a new share takes effect, so that every box knows it when it
-   does: the time to be in force everywhere, and clocks that differ. */
-#define WP_SHARE_LEAD_MS 3000
+/* Delay until a new share takes effect, so that every box knows it by then: it
+   covers the time until a change is in force everywhere and the difference
+   between the boxes' clocks. */
+#define WP_SHARE_ACTIVATION_DELAY_MS 3000
 
-/* Checks that states and targets exist; NULL and an error if not. */
+/* Parses the chart in `text`; `file` is named in errors. Returns NULL and sets
+   `error` if the text is malformed, or if the initial state or the target of a
+   transition is not defined. Free the result with wp_pb_free(). */
 Wp__Chart *wp_chart_read(WPStr text, const char *file, GError **error);
+
+/* The state of this name; NULL if the chart has none. */
 const Wp__ChartState *wp_chart_state(const Wp__Chart *c, const char *name);
 
-/* Where `event` leads from `state`; NULL when it leads nowhere. */
+/* The target of the transition from `state` on `event`; NULL if there is no
+   such transition. */
 const Wp__ChartState *wp_chart_next(const Wp__Chart *c, const char *state,
                                     const char *event);
 
-/* What this box has seen itself of the roll-outs that it may carry on: since
-   when each is in its state, by the monotonic clock, and how many ratings the
-   new version had when the roll-out was first seen. Neither the time of day at
-   which another box says that it entered the state nor ratings from before the
-   roll-out open a gate. */
-typedef struct WPWatch {
-    GHashTable *seen; /* roll-out's name -> WPWatched */
-} WPWatch;
+/* What this box has observed itself of the roll-outs that it may advance: since
+   when, by the monotonic clock, each of them is in its state, and how many
+   ratings the new version had when the roll-out was first seen. A gate opens
+   only on these: neither on the wall-clock time at which another box entered
+   the state, nor on ratings from before the roll-out. */
+typedef struct WPRolloutMonitor {
+    GHashTable *observed; /* roll-out's name -> Observed */
+} WPRolloutMonitor;
 
-void wp_watch_init(WPWatch *w);
-void wp_watch_end(WPWatch *w);
+void wp_rollout_monitor_init(WPRolloutMonitor *w);
+void wp_rollout_monitor_end(WPRolloutMonitor *w);
 
-/* To be called several times a second. */
-void wp_watch_look(WPWatch *w, const WPPolicy *p, const WPQuality *q,
-                   WPTime now);
+/* Updates the observations from the policy's roll-outs and the ratings in `q`.
+   To be called several times a second. */
+void wp_rollout_monitor_poll(WPRolloutMonitor *w, const WPPolicy *p,
+                             const WPQuality *q, WPTime now);
 
-/* Operations that carry one roll-out one step on, NULL when nothing is due.
-   Free with wp_ops_free(). `why` is set to a line for the events. */
+/* The operations that advance one roll-out by one step; NULL if no step is due.
+   Free them with wp_ops_free(). With a step, `*why` is set to a line for the
+   event log, which is freed with g_free(). */
 GPtrArray *wp_rollout_step(const Wp__Chart *c, const WPPolicy *p,
-                           const WPQuality *q, const WPWatch *w, WPTime now,
-                           char **why);
+                           const WPQuality *q, const WPRolloutMonitor *w,
+                           WPTime now, char **why);
 
-/* The operations of an operator's event ("pause", "resume", "abort") on the
-   roll-out `name`, or NULL and an error. */
+/* The operations that apply an operator's event ("pause", "resume" or "abort")
+   to the roll-out `name`. Returns NULL and sets `error` if there is no such
+   roll-out, or no transition from its state on the event. */
 GPtrArray *wp_rollout_event(const Wp__Chart *c, const WPConfig *config,
                             const char *name, const char *event, WPTime now,
                             GError **error);
 
-/* Operations that withdraw a version which has turned bad outside of any
-   roll-out, if another can take its traffic; NULL when there is none. */
-GPtrArray *wp_stop_bad(const WPPolicy *p, const WPQuality *q, WPTime now,
-                       char **why);
+/* The operations that withdraw a version which its ratings show to be bad,
+   whether or not a roll-out leads to it. A version stays if it is the only one
+   that some workspace may use for some kind of request. Returns NULL if there
+   is nothing to withdraw; `*why` is set as by wp_rollout_step(). */
+GPtrArray *wp_withdraw_bad_version(const WPPolicy *p, const WPQuality *q,
+                                   WPTime now, char **why);
 
-/* The operations that set or lift a withdrawal; NULL and an error when the
-   version is not configured. */
+/* The operations that withdraw a version, or lift its withdrawal. Returns NULL
+   and sets `error` if the version is not configured. */
 GPtrArray *wp_withdraw_ops(const WPConfig *c, const char *version,
                            bool withdrawn, WPTime now, GError **error);
 
--- a/src/wp_shift.c
+++ b/src/wp_shift.c
@@ -1,38 +1,42 @@
-/* Moves of services between versions. */
+/* Traffic shifts of services between versions. */
 #include "wp_shift.h"
 #include "wp_rollout.h"
 
-/* A little more than the half that the platform grants sessions, as boxes hear
-   at different times that a move has begun. */
+/* The part of an order's duration for which sessions stay on the old version.
+   The platform grants them half of it; the rest covers that boxes learn at
+   different times that a shift has begun. */
 #define FIRST_HALF 0.52
 
-/* A move is to be done so long before the order's time: it begins some tenths
-   of a second after the order, and its record is written before the time. */
+/* A shift is to be done so long before the order's duration is over: it begins
+   some tenths of a second after the order, and the record of its outcome must
+   be written in time. */
 #define SPARE_MS 500
 
-/* How long a move waits until boxes have told each other which sessions are
-   under way. */
+/* Time from the start of a shift until the first request goes to the new
+   version. Boxes use it to send each other which sessions are active on the old
+   one. */
 #define LEAD_MS 1500
 
-/* Looks come every 50 ms; after a pause of more, what this box knows of others
-   may be old, and what they know of it. */
+/* Polls come every 50 ms. After a gap of this length, what this box knows of
+   the others may be out of date, and what they know of it. */
 #define PAUSE_MS 1000
 
 struct WPShifts {
     const Wp__Chart *chart;
-    bool draining; /* this box takes no requests */
-    GHashTable *by_service;
-    GHashTable *serving; /* service -> set of versions that no order named */
+    bool draining;          /* this box takes no requests */
+    GHashTable *by_service; /* service -> WPShift */
+    GHashTable *serving;    /* service -> set of versions that may serve without
+                               an order, see wp_shifts_note_registered() */
 };
 
 static void shift_free(void *p)
 {
     WPShift *sh = p;
-    wp_trial_end(&sh->trial);
-    g_hash_table_unref(sh->undone);
+    wp_canary_end(&sh->canary);
+    g_hash_table_unref(sh->rolled_back);
     g_free(sh->service);
     g_free(sh->version);
-    g_free(sh->base);
+    g_free(sh->baseline_version);
     g_free(sh);
 }
 
@@ -56,57 +60,65 @@
     g_free(s);
 }
 
-/* Versions that an earlier order led to and that were found bad: their
-   endpoints are still there for some seconds, and are not among the old ones:
-   no session goes back there. XXX: a box that starts after the next order does
-   not know of them. */
-static GHashTable *undone_before(const WPShift *had, const char *version)
+/* The set of versions that earlier orders led to and that were found bad.
+   `previous`: the service's shift before the one to `version`, or NULL. The
+   endpoints of those versions are still registered for some seconds. They do
+   not count as endpoints of the old version, so that no session goes back to
+   them. XXX: a box that starts after the next order does not know of them. */
+static GHashTable *rolled_back_before(const WPShift *previous,
+                                      const char *version)
 {
     GHashTable *t =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     GHashTableIter it;
     gpointer v;
-    if (!had)
+    if (!previous)
         return t;
-    g_hash_table_iter_init(&it, had->undone);
+    g_hash_table_iter_init(&it, previous->rolled_back);
     while (g_hash_table_iter_next(&it, &v, NULL))
         g_hash_table_add(t, g_strdup(v));
-    if (had->state == WP_SHIFT_UNDONE || had->suspect)
-        g_hash_table_add(t, g_strdup(had->version));
-    /* The operator may have mended it. */
+    if (previous->state == WP_SHIFT_ROLLED_BACK || previous->found_bad)
+        g_hash_table_add(t, g_strdup(previous->version));
+    /* The operator may have repaired it. */
     g_hash_table_remove(t, version);
     return t;
 }
 
-/* The version that serves when an order comes, if a move before it was done.
-   Endpoints of the one before that are listed for some tenths of a second more;
-   they are not among the old ones, so that no session goes back there. */
-static char *base_of(const WPShift *had)
+/* The version that serves when the next order comes, as far as completed shifts
+   tell; NULL: not known. `previous`: the service's shift until then, or NULL.
+   Endpoints of the version before stay registered for some tenths of a second.
+   They do not count as endpoints of the old version, so that no session goes
+   back to them. */
+static char *baseline_after(const WPShift *previous)
 {
-    if (!had)
+    if (!previous)
         return NULL;
-    return g_strdup(had->state == WP_SHIFT_DONE ? had->version : had->base);
+    return g_strdup(previous->state == WP_SHIFT_DONE
+                        ? previous->version
+                        : previous->baseline_version);
 }
 
-WPShift *wp_shifts_order(WPShifts *s, WPTime now, const WPShiftOrder *o)
+WPShift *wp_shifts_add_order(WPShifts *s, WPTime now, const WPShiftOrder *o)
 {
-    const WPShift *had = wp_shifts_find(s, o->service);
-    if (had && had->revision >= o->revision)
+    const WPShift *previous = wp_shifts_find(s, o->service);
+    if (previous && previous->revision >= o->revision)
         return NULL;
     WPShift *sh = g_new0(WPShift, 1);
-    sh->undone = undone_before(had, o->version);
-    sh->base = base_of(had);
+    sh->rolled_back = rolled_back_before(previous, o->version);
+    sh->baseline_version = baseline_after(previous);
     sh->service = g_strdup(o->service);
     sh->version = g_strdup(o->version);
     sh->revision = o->revision;
     sh->duration_ms = o->duration_ms;
-    sh->looked_us = sh->watched_us = sh->stage_us = now.mono_us;
-    wp_trial_init(&sh->trial);
+    sh->polled_us = sh->observed_since_us = sh->stage_observed_since_us =
+        now.mono_us;
+    wp_canary_init(&sh->canary);
     g_hash_table_replace(s->by_service, sh->service, sh);
     return sh;
 }
 
-void wp_shifts_outcome(WPShifts *s, const WPShiftOrder *o, WPShiftState state)
+void wp_shifts_apply_outcome(WPShifts *s, const WPShiftOrder *o,
+                             WPShiftState state)
 {
     WPShift *sh = wp_shifts_find(s, o->service);
     if (!sh || strcmp(sh->version, o->version) || o->revision <= sh->revision)
@@ -134,43 +146,46 @@
         fn(arg, sh);
 }
 
-void wp_shift_hear_elapsed(WPShift *sh, WPTime now, int64_t ms)
+void wp_shift_merge_elapsed(WPShift *sh, WPTime now, int64_t ms)
 {
-    wp_elapsed_hear(&sh->elapsed, now, ms);
+    wp_elapsed_merge(&sh->elapsed, now, ms);
 }
 
-/* The time that the stages have, with some to spare at the order's end. */
-static int64_t span_ms(const WPShift *sh)
+/* The time that all stages together take: the order's duration without the
+   spare time at its end. */
+static int64_t stages_ms(const WPShift *sh)
 {
     return MAX(sh->duration_ms - SPARE_MS, 1);
 }
 
-/* The part of it that is over. */
-static double part_over(const WPShift *sh, WPTime now)
+/* How much of that time is over, as a part of it. */
+static double elapsed_part(const WPShift *sh, WPTime now)
 {
     if (sh->duration_ms <= 0)
         return 0;
-    return (double)wp_elapsed_ms(&sh->elapsed, now) / (double)span_ms(sh);
+    return (double)wp_elapsed_ms(&sh->elapsed, now) / (double)stages_ms(sh);
 }
 
-/* Whether this part of it has passed since a moment of this box's. */
-static bool has_run(int64_t from_us, WPTime now, double part, const WPShift *sh)
+/* Whether at least `part` of the time of all stages has passed since
+   `from_us`. */
+static bool has_passed(int64_t from_us, WPTime now, double part,
+                       const WPShift *sh)
 {
-    int64_t us = (int64_t)(part * (double)span_ms(sh)) * WP_US_PER_MS;
+    int64_t us = (int64_t)(part * (double)stages_ms(sh)) * WP_US_PER_MS;
     return now.mono_us - from_us >= us;
 }
 
-typedef bool (*ShiftIs)(const WPShifts *s, const WPShift *sh, WPTime now);
+typedef bool (*ShiftTest)(const WPShifts *s, const WPShift *sh, WPTime now);
 
-/* Whether some running move is so. */
-static bool some_move(const WPShifts *s, WPTime now, ShiftIs is)
+/* Whether some running shift passes the test. */
+static bool any_running(const WPShifts *s, WPTime now, ShiftTest test)
 {
     GHashTableIter it;
     gpointer p;
     g_hash_table_iter_init(&it, s->by_service);
     while (g_hash_table_iter_next(&it, NULL, &p)) {
         const WPShift *sh = p;
-        if (sh->state == WP_SHIFT_RUNNING && is(s, sh, now))
+        if (sh->state == WP_SHIFT_RUNNING && test(s, sh, now))
             return true;
     }
     return false;
@@ -182,31 +197,32 @@
     return wp_shift_first_half(sh, now);
 }
 
+/* Whether the stage gives the new version a part of the requests only. */
 static bool is_partial(const WPShifts *s, const WPShift *sh, WPTime now)
 {
     return wp_shift_stage(s, sh, now)->share < 1;
 }
 
-bool wp_shifts_first_half(const WPShifts *s, WPTime now)
+bool wp_shifts_any_first_half(const WPShifts *s, WPTime now)
 {
-    return some_move(s, now, in_first_half);
+    return any_running(s, now, in_first_half);
 }
 
-bool wp_shifts_partial(const WPShifts *s, WPTime now)
+bool wp_shifts_any_partial(const WPShifts *s, WPTime now)
 {
-    return some_move(s, now, is_partial);
+    return any_running(s, now, is_partial);
 }
 
-typedef bool (*ShiftHas)(const WPShift *sh, const char *version);
+typedef bool (*VersionTest)(const WPShift *sh, const char *version);
 
-/* Whether some move has this to do with the version. */
-static bool some_has(const WPShifts *s, const char *version, ShiftHas has)
+/* Whether some shift, running or not, passes the test for the version. */
+static bool any_shift(const WPShifts *s, const char *version, VersionTest test)
 {
     GHashTableIter it;
     gpointer p;
     g_hash_table_iter_init(&it, s->by_service);
     while (g_hash_table_iter_next(&it, NULL, &p))
-        if (has(p, version))
+        if (test(p, version))
             return true;
     return false;
 }
@@ -216,26 +232,27 @@
     return sh->state == WP_SHIFT_RUNNING && !strcmp(sh->version, version);
 }
 
-static bool was_done_away_from(const WPShift *sh, const char *version)
+/* Whether this shift, or one before it, was completed away from the version. */
+static bool has_replaced(const WPShift *sh, const char *version)
 {
     bool done = sh->state == WP_SHIFT_DONE && strcmp(sh->version, version);
-    return done || wp_shift_has_left(sh, version);
+    return done || wp_shift_has_retired(sh, version);
 }
 
 bool wp_shifts_is_target(const WPShifts *s, const char *version)
 {
-    return some_has(s, version, leads_to);
+    return any_shift(s, version, leads_to);
 }
 
-/* XXX: of versions that two services name alike, the one that is left counts
-   for both. */
-bool wp_shifts_have_left(const WPShifts *s, const char *version)
+/* XXX: a version name that two services use counts as retired for both as soon
+   as one of them has retired it. */
+bool wp_shifts_any_retired(const WPShifts *s, const char *version)
 {
-    return some_has(s, version, was_done_away_from);
+    return any_shift(s, version, has_replaced);
 }
 
-void wp_shifts_listed(WPShifts *s, const char *service, const char *version,
-                      bool starting)
+void wp_shifts_note_registered(WPShifts *s, const char *service,
+                               const char *version, bool starting)
 {
     GHashTable *set = g_hash_table_lookup(s->serving, service);
     if (!set) {
@@ -247,8 +264,8 @@
         g_hash_table_add(set, g_strdup(version));
 }
 
-bool wp_shifts_allow(const WPShifts *s, const char *service,
-                     const char *version)
+bool wp_shifts_allows(const WPShifts *s, const char *service,
+                      const char *version)
 {
     const WPShift *sh = g_hash_table_lookup(s->by_service, service);
     GHashTable *set = g_hash_table_lookup(s->serving, service);
@@ -257,24 +274,24 @@
     return !set || g_hash_table_contains(set, version);
 }
 
-bool wp_shift_has_left(const WPShift *sh, const char *version)
+bool wp_shift_has_retired(const WPShift *sh, const char *version)
 {
-    return sh->base && strcmp(version, sh->version) &&
-           strcmp(version, sh->base);
+    return sh->baseline_version && strcmp(version, sh->version) &&
+           strcmp(version, sh->baseline_version);
 }
 
 bool wp_shift_allows(const WPShift *sh, const char *version)
 {
     bool is_new = !strcmp(version, sh->version);
-    if (wp_shift_has_left(sh, version) ||
-        g_hash_table_contains(sh->undone, version))
+    if (wp_shift_has_retired(sh, version) ||
+        g_hash_table_contains(sh->rolled_back, version))
         return false;
-    if (sh->state == WP_SHIFT_UNDONE || sh->suspect)
+    if (sh->state == WP_SHIFT_ROLLED_BACK || sh->found_bad)
         return !is_new;
     return sh->state == WP_SHIFT_RUNNING || is_new;
 }
 
-/* The part of the duration after which a stage may begin. */
+/* The part of the time of all stages after which `stage` may begin. */
 static double part_before(const WPShifts *s, const Wp__ChartState *stage)
 {
     double part = 0;
@@ -289,12 +306,12 @@
                                      WPTime now)
 {
     const Wp__ChartState *at = wp_chart_state(s->chart, s->chart->initial);
-    double part = part_over(sh, now);
+    double part = elapsed_part(sh, now);
     while (!at->final && part >= at->dwell_part) {
         const Wp__ChartState *next = wp_chart_next(s->chart, at->name, "next");
         if (!next || next->final)
             break;
-        if (!strcmp(next->gate, "evidence") && !sh->open)
+        if (!strcmp(next->gate, "evidence") && !sh->gate_passed)
             break;
         part -= at->dwell_part;
         at = next;
@@ -308,17 +325,17 @@
     return (double)ms < FIRST_HALF * (double)sh->duration_ms;
 }
 
-void wp_shift_answered(WPShift *sh, const WPShiftAnswer *a)
+void wp_shift_record_answer(WPShift *sh, const WPCanaryAnswer *a)
 {
-    wp_trial_answered(&sh->trial, a, !strcmp(a->version, sh->version));
+    wp_canary_record_answer(&sh->canary, a, !strcmp(a->version, sh->version));
 }
 
-bool wp_shift_takes(const WPShifts *s, const WPShift *sh, WPTime now,
-                    double unit, const char *last)
+bool wp_shift_routes_to_new(const WPShifts *s, const WPShift *sh, WPTime now,
+                            double unit, const char *last)
 {
     if (sh->state != WP_SHIFT_RUNNING)
         return sh->state == WP_SHIFT_DONE;
-    if (sh->suspect || wp_elapsed_ms(&sh->elapsed, now) < LEAD_MS)
+    if (sh->found_bad || wp_elapsed_ms(&sh->elapsed, now) < LEAD_MS)
         return false;
     if (last && !strcmp(last, sh->version))
         return true;
@@ -327,102 +344,112 @@
     return unit < wp_shift_stage(s, sh, now)->share;
 }
 
-void wp_shift_hear_open(WPShift *sh)
+void wp_shift_merge_gate_passed(WPShift *sh)
 {
-    sh->open = true;
+    sh->gate_passed = true;
 }
 
-void wp_shift_hear_bad(WPShift *sh)
+void wp_shift_merge_bad(WPShift *sh)
 {
-    sh->suspect = sh->suspect || sh->state == WP_SHIFT_RUNNING;
+    sh->found_bad = sh->found_bad || sh->state == WP_SHIFT_RUNNING;
 }
 
-char *wp_shift_figures(const WPShift *sh, WPTime now)
+char *wp_shift_stats_text(const WPShift *sh, WPTime now)
 {
-    g_autofree char *sums = wp_trial_text(&sh->trial);
+    g_autofree char *sums = wp_canary_stats_text(&sh->canary);
     return g_strdup_printf(
         "order=%lu elapsed_ms=%ld watched_ms=%ld %s",
         (unsigned long)sh->revision, (long)wp_elapsed_ms(&sh->elapsed, now),
-        (long)((now.mono_us - sh->watched_us) / WP_US_PER_MS), sums);
+        (long)((now.mono_us - sh->observed_since_us) / WP_US_PER_MS), sums);
 }
 
-/* Whether a stage may begin on what is known: on answers that tell, or when
-   this box would have seen them. To know nothing bad is not enough: boxes that
-   had all started again ended a move to a slow version on 4 answers. */
-static bool is_shown(const WPShifts *s, const WPShift *sh, WPTime now,
-                     const Wp__ChartState *stage)
+/* Whether enough is known for `stage` to begin: there are enough answers for a
+   verdict, or this box has observed the shift without a pause for as long as
+   the stages before take and would have seen bad ones. That nothing bad is
+   known is not enough: boxes that had all restarted completed a shift to a slow
+   version on 4 answers. */
+static bool has_evidence(const WPShifts *s, const WPShift *sh, WPTime now,
+                         const Wp__ChartState *stage)
 {
-    return wp_trial_tells(&sh->trial) ||
-           has_run(sh->watched_us, now, part_before(s, stage), sh);
+    return wp_canary_has_enough_answers(&sh->canary) ||
+           has_passed(sh->observed_since_us, now, part_before(s, stage), sh);
 }
 
-/* After a pause a box has not watched, whatever it did before. */
-static void note_look(WPShift *sh, WPTime now)
+/* Notes a poll. After a gap between polls the time of observation counts from
+   now, whatever this box observed before. */
+static void note_poll(WPShift *sh, WPTime now)
 {
-    if (now.mono_us - sh->looked_us >= PAUSE_MS * WP_US_PER_MS)
-        sh->watched_us = sh->stage_us = now.mono_us;
-    sh->looked_us = now.mono_us;
+    if (now.mono_us - sh->polled_us >= PAUSE_MS * WP_US_PER_MS)
+        sh->observed_since_us = sh->stage_observed_since_us = now.mono_us;
+    sh->polled_us = now.mono_us;
 }
 
-/* Why the gate before a stage stays shut though its time has come, or NULL. */
-static const char *ask_gate(const WPShifts *s, const WPShift *sh, WPTime now,
-                            const Wp__ChartState *stage)
+/* Why the gate before `stage` stays closed although the stage's time has come;
+   NULL if it opens. */
+static const char *closed_gate_reason(const WPShifts *s, const WPShift *sh,
+                                      WPTime now, const Wp__ChartState *stage)
 {
     if (s->draining)
-        return "this box takes no requests";
-    if (wp_trial_may_fail(&sh->trial))
-        return "doubt: the failures speak rather for a bad version";
-    if (!stage->final && wp_trial_is_doubtful(&sh->trial))
-        return "doubt: the answers speak rather for a slow version";
-    return is_shown(s, sh, now, stage) ? NULL : "too few answers are known";
+        return "this box is draining and takes no requests";
+    if (wp_canary_may_fail(&sh->canary))
+        return "the failures are more likely from a bad version than from a "
+               "good one";
+    if (!stage->final && wp_canary_may_be_slow(&sh->canary))
+        return "the answers are more likely from a slow version than from a "
+               "good one";
+    return has_evidence(s, sh, now, stage)
+               ? NULL
+               : "too few answers are known for a verdict";
 }
 
 bool wp_shift_advance(const WPShifts *s, WPShift *sh, WPTime now, char **why)
 {
-    note_look(sh, now);
-    if (sh->state != WP_SHIFT_RUNNING || !wp_elapsed_begun(&sh->elapsed))
+    note_poll(sh, now);
+    if (sh->state != WP_SHIFT_RUNNING || !wp_elapsed_started(&sh->elapsed))
         return false;
     const Wp__ChartState *at = wp_shift_stage(s, sh, now);
     const Wp__ChartState *next = wp_chart_next(s->chart, at->name, "next");
-    sh->waits = NULL;
-    if (next && !strcmp(next->gate, "evidence") && !sh->open &&
-        part_over(sh, now) >= part_before(s, next)) {
-        sh->waits = ask_gate(s, sh, now, next);
-        sh->open = !sh->waits;
+    sh->wait_reason = NULL;
+    if (next && !strcmp(next->gate, "evidence") && !sh->gate_passed &&
+        elapsed_part(sh, now) >= part_before(s, next)) {
+        sh->wait_reason = closed_gate_reason(s, sh, now, next);
+        sh->gate_passed = !sh->wait_reason;
         at = wp_shift_stage(s, sh, now);
     }
     if (sh->stage && !strcmp(sh->stage, at->name))
         return false;
     sh->stage = at->name;
-    sh->stage_us = now.mono_us;
-    *why = wp_shift_figures(sh, now);
+    sh->stage_observed_since_us = now.mono_us;
+    *why = wp_shift_stats_text(sh, now);
     return true;
 }
 
-/* Whether the last stage has lasted as it should, before this box's eyes. One
-   that was paused over both stages would end the move at its first look. */
+/* Whether the last stage has lasted for its time while this box observed it,
+   and its end is not held back. Without the observation, a box that was paused
+   during both stages would complete the shift at its first poll. */
 static bool is_over(const WPShifts *s, WPShift *sh, WPTime now,
                     const Wp__ChartState *stage, const Wp__ChartState *end)
 {
-    if (part_over(sh, now) < part_before(s, end) ||
-        !has_run(sh->stage_us, now, stage->dwell_part, sh))
+    if (elapsed_part(sh, now) < part_before(s, end) ||
+        !has_passed(sh->stage_observed_since_us, now, stage->dwell_part, sh))
         return false;
-    sh->waits = ask_gate(s, sh, now, end);
-    return !sh->waits;
+    sh->wait_reason = closed_gate_reason(s, sh, now, end);
+    return !sh->wait_reason;
 }
 
-WPShiftState wp_shift_due(const WPShifts *s, WPShift *sh, WPTime now,
-                          char **why)
+WPShiftState wp_shift_due_state(const WPShifts *s, WPShift *sh, WPTime now,
+                                char **why)
 {
-    if (sh->state != WP_SHIFT_RUNNING || !wp_elapsed_begun(&sh->elapsed))
+    if (sh->state != WP_SHIFT_RUNNING || !wp_elapsed_started(&sh->elapsed))
         return WP_SHIFT_RUNNING;
     const Wp__ChartState *stage = wp_shift_stage(s, sh, now);
-    if (wp_trial_is_bad(&sh->trial, stage->share < 1, why))
-        return WP_SHIFT_UNDONE;
-    if (sh->suspect) {
+    if (wp_canary_is_bad(&sh->canary, stage->share < 1, why))
+        return WP_SHIFT_ROLLED_BACK;
+    if (sh->found_bad) {
         if (why)
-            *why = g_strdup("found bad before or by another box");
-        return WP_SHIFT_UNDONE;
+            *why =
+                g_strdup("the version was found bad before, or by another box");
+        return WP_SHIFT_ROLLED_BACK;
     }
     const Wp__ChartState *next = wp_chart_next(s->chart, stage->name, "next");
     if (!next || !next->final || !is_over(s, sh, now, stage, next))
--- a/src/wp_shift.h
+++ b/src/wp_shift.h
@@ -1,148 +1,181 @@
-/* Moving a service's requests to another version of its endpoints: which
- * version each request may go to while the move runs, whether the new version
- * is bad, and when the move may be called done.
+/* Traffic shifts: an operator orders that a service's requests move to another
+ * version of its endpoints. A shift decides which version each request may go
+ * to while it runs, whether the new version is bad, and when the shift is done.
  *
- * The stages follow from the order and from how long ago its record was
- * written, which boxes tell each other and the store keeps (wp_elapsed.h); so
- * every box computes nearly the same share, also after a restart. What ends a
- * move is written to the store by compare-and-swap, and one outcome holds. */
+ * The stages follow from the order's duration and from the time since the
+ * order's record was written, which boxes send each other and keep in the store
+ * (wp_elapsed.h). So every box computes nearly the same share of requests for
+ * the new version, also after a restart. The outcome is written to the store by
+ * compare-and-swap, so there is only one. */
 #ifndef WP_SHIFT_H
 #define WP_SHIFT_H
 
 #include "settings.pb-c.h"
 #include "wp_elapsed.h"
-#include "wp_trial.h"
+#include "wp_canary.h"
 
 typedef enum WPShiftState {
     WP_SHIFT_RUNNING,
-    WP_SHIFT_DONE,  /* the old endpoints stop at once */
-    WP_SHIFT_UNDONE /* the new version takes nothing any more */
+    WP_SHIFT_DONE,       /* the endpoints of the old version stop at once */
+    WP_SHIFT_ROLLED_BACK /* the new version gets no more requests */
 } WPShiftState;
 
 /* An operator's order. */
 typedef struct WPShiftOrder {
-    const char *service, *version;
+    const char *service, *version; /* `version`: the new one */
     uint32_t duration_ms;
-    uint64_t revision; /* in the store; a later order replaces an earlier */
+    uint64_t revision; /* of its entry in the store; a service's order with a
+                          higher revision replaces the one before */
 } WPShiftOrder;
 
+/* The shift that a service's latest order asks for. Times that end in _us are
+   of this process's monotonic clock. */
 typedef struct WPShift {
-    char *service, *version;
-    uint64_t revision;
+    char *service, *version; /* `version`: the new one */
+    uint64_t revision;       /* of the order */
     WPShiftState state;
     int64_t duration_ms;
-    WPElapsed elapsed; /* since its record was written */
-    WPTrial trial;
-    GHashTable *undone; /* versions of earlier orders that were bad */
-    char *base;   /* version that an earlier move was done to, the one to be
-                     replaced; NULL: not known */
-    bool suspect; /* found bad: takes nothing any more */
-    bool open;    /* the gate of a stage has been passed */
-    const char *stage;      /* its name at the last look; the chart's */
-    uint32_t old_running;   /* requests of this box on other versions */
-    int64_t looked_us;      /* when this box last looked at the move */
-    int64_t watched_us;     /* since when it has without a pause */
-    int64_t stage_us;       /* the same, at this stage */
-    const char *waits;      /* why the next stage waits; NULL: it does not */
-    const char *told_waits; /* the same, as the log tells it */
+    WPElapsed elapsed; /* since the order's record was written */
+    WPCanary canary;   /* the new version's answers against the old one's */
+
+    /* Set of the versions of earlier orders that were found bad. */
+    GHashTable *rolled_back;
+
+    /* The version to which the latest completed shift before this one led,
+       which is the one to be replaced; NULL: not known. */
+    char *baseline_version;
+
+    bool found_bad;       /* the new version is bad and gets no more requests */
+    bool gate_passed;     /* the gate before the last stage has been passed */
+    const char *stage;    /* name of the stage at the last poll; the chart's */
+    uint32_t old_running; /* this box's requests in flight on other versions */
+    int64_t polled_us;    /* time of the last poll */
+
+    /* Since when this box has polled without a pause: at all, and in the
+       present stage. */
+    int64_t observed_since_us;
+    int64_t stage_observed_since_us;
+
+    /* Why the gate of the next stage is closed although its time has come, and
+       the same as last logged; NULL: it is not. */
+    const char *wait_reason;
+    const char *logged_wait_reason;
 } WPShift;
 
 typedef struct WPShifts WPShifts;
 
-/* The chart gives the stages and must live as long. */
+/* All shifts that a box knows, one a service. `chart` defines the stages and
+   must outlive the result. */
 WPShifts *wp_shifts_new(const Wp__Chart *chart);
 void wp_shifts_free(WPShifts *s);
 
-/* Takes an order; NULL when it is known already. */
-WPShift *wp_shifts_order(WPShifts *s, WPTime now, const WPShiftOrder *o);
-
-/* Takes the store's word on how a move ended; `o` has the revision of that
-   record. One that is older than the order is of an order before it. */
-void wp_shifts_outcome(WPShifts *s, const WPShiftOrder *o, WPShiftState state);
-
-/* Whether this box is one that takes no requests, as it stops: it sees nothing
-   of a stage, and neither opens gates nor ends moves. Three that were stopped
-   in turn let a last stage pass in which none of them had a request. */
+/* Starts the shift of an order, in place of the service's earlier one. Returns
+   NULL if this order, or a later one for the service, is known already. */
+WPShift *wp_shifts_add_order(WPShifts *s, WPTime now, const WPShiftOrder *o);
+
+/* Takes the state of a shift from its outcome record in the store. `o` names
+   the service and the version and has the record's own revision. A record with
+   a lower revision than the order's belongs to an earlier order and is
+   ignored. */
+void wp_shifts_apply_outcome(WPShifts *s, const WPShiftOrder *o,
+                             WPShiftState state);
+
+/* Sets whether this box is draining. A draining box takes no requests and so
+   observes nothing of a stage: it neither passes gates nor completes shifts.
+   Guards against a last stage that passes unobserved: three boxes that were
+   stopped in turn completed one in which none of them had a request. */
 void wp_shifts_set_draining(WPShifts *s, bool draining);
 
+/* The service's shift; NULL if no order for it is known. */
 WPShift *wp_shifts_find(WPShifts *s, const char *service);
+
+/* Calls `fn` for each shift, also for those that have ended. */
 void wp_shifts_each(WPShifts *s, void (*fn)(void *arg, WPShift *sh), void *arg);
 
-/* An endpoint of this version is listed. `starting`: this box is still being
-   told what there is; what it finds then serves. Later a version that no order
-   has named is passed over while there are others: its endpoints may be known
-   before the order for them, by a box that the store has stopped answering in
-   between, and would get an equal share. */
-void wp_shifts_listed(WPShifts *s, const char *service, const char *version,
-                      bool starting);
+/* Notes that an endpoint of this version is registered. `starting`: this box is
+   still reading the registry's initial content; the versions found then may
+   serve. A version that is registered later gets no requests before an order
+   names it, while there are others. Otherwise it would get an equal share of
+   them at a box that learns of its endpoints and then loses the store before it
+   learns of the order. */
+void wp_shifts_note_registered(WPShifts *s, const char *service,
+                               const char *version, bool starting);
 
-/* Whether some move that was done has left this version. */
-bool wp_shifts_have_left(const WPShifts *s, const char *version);
+/* Whether this version was replaced by a completed shift of some service, the
+   present one or one before it. */
+bool wp_shifts_any_retired(const WPShifts *s, const char *version);
 
-/* Whether a version of the service may take requests. */
-bool wp_shifts_allow(const WPShifts *s, const char *service,
-                     const char *version);
+/* Whether the service's requests may go to this version. */
+bool wp_shifts_allows(const WPShifts *s, const char *service,
+                      const char *version);
 
-/* Whether some move is in its first half. */
-bool wp_shifts_first_half(const WPShifts *s, WPTime now);
+/* Whether some running shift is in its first half. */
+bool wp_shifts_any_first_half(const WPShifts *s, WPTime now);
 
-/* Whether some move runs that has not yet reached all sessions. */
-bool wp_shifts_partial(const WPShifts *s, WPTime now);
+/* Whether some running shift does not give the new version all sessions yet. */
+bool wp_shifts_any_partial(const WPShifts *s, WPTime now);
 
-/* Whether some running move leads to this version. */
+/* Whether some running shift leads to this version. */
 bool wp_shifts_is_target(const WPShifts *s, const char *version);
 
-/* Whether an earlier move was done away from this version: its endpoints have
-   stopped or are about to. */
-bool wp_shift_has_left(const WPShift *sh, const char *version);
+/* Whether a shift that was completed before this one replaced the version: its
+   endpoints have stopped or are about to. */
+bool wp_shift_has_retired(const WPShift *sh, const char *version);
 
-/* Whether a version may take requests beside or after this move. */
+/* Whether requests may go to the version, in the shift's present state. */
 bool wp_shift_allows(const WPShift *sh, const char *version);
 
-/* Whether a request is to go to the new version. `unit` in [0, 1) is the same
-   for all requests of a session; `last` is the version that served the
-   session before, NULL when this box knows of none. */
-bool wp_shift_takes(const WPShifts *s, const WPShift *sh, WPTime now,
-                    double unit, const char *last);
-
-/* The record of the move has been in the store for at least so long. Before
-   that nothing goes to the new version. */
-void wp_shift_hear_elapsed(WPShift *sh, WPTime now, int64_t ms);
+/* Whether a request is to go to the new version. Once the shift has ended, that
+   is whether it was completed. While it runs, `unit` in [0, 1), which is the
+   same for all requests of a session, is compared with the stage's share.
+   `last` is the version that served the session before; NULL if this box knows
+   none. A session stays on the new version, and during the first half also on
+   the old one, whatever its `unit`. */
+bool wp_shift_routes_to_new(const WPShifts *s, const WPShift *sh, WPTime now,
+                            double unit, const char *last);
+
+/* Takes a lower bound: the order's record has been in the store for at least
+   `ms` milliseconds. Before the first call no request goes to the new
+   version. */
+void wp_shift_merge_elapsed(WPShift *sh, WPTime now, int64_t ms);
 
-/* How one request ended at an endpoint. */
-void wp_shift_answered(WPShift *sh, const WPShiftAnswer *a);
+/* Records how one request ended at an endpoint, of either version. */
+void wp_shift_record_answer(WPShift *sh, const WPCanaryAnswer *a);
 
-/* What this box knows of the move, for the log; free with g_free(). */
-char *wp_shift_figures(const WPShift *sh, WPTime now);
+/* What this box knows of the shift, as text for the log. Free with g_free(). */
+char *wp_shift_stats_text(const WPShift *sh, WPTime now);
 
-/* Another box finds the version bad: that holds here as well, whatever this
-   one has seen itself. Guards against a box that was cut off from the others
-   and ends the move on what it knows. */
-void wp_shift_hear_bad(WPShift *sh);
+/* Merges another box's finding that the new version is bad, whatever this box
+   has observed itself. Guards against a box that was cut off from the others
+   and completes the shift on what it alone knows. */
+void wp_shift_merge_bad(WPShift *sh);
 
-/* Another box has passed the gate before the last stage. */
-void wp_shift_hear_open(WPShift *sh);
+/* Merges that another box has passed the gate before the last stage. */
+void wp_shift_merge_gate_passed(WPShift *sh);
 
-/* Whether the move is in its first half, in which sessions stay on the old
+/* Whether the shift is in its first half, in which sessions stay on the old
    version. */
 bool wp_shift_first_half(const WPShift *sh, WPTime now);
 
-/* The stage at this time. */
+/* The stage of the shift at `now`. */
 const Wp__ChartState *wp_shift_stage(const WPShifts *s, const WPShift *sh,
                                      WPTime now);
 
-/* Looks at the move, several times a second: passes the gate of the next stage
-   when its time has come and the answers are good. Returns true when the stage
-   is another one than at the last call; `why` then gives the figures and is
-   freed with g_free(). */
+/* Polls the shift; to be called several times a second. Passes the gate of the
+   next stage if its time has come and the answers are good. Returns whether the
+   stage has changed since the last call; `*why` is then set to the statistics
+   that led to it, and is freed with g_free(). */
 bool wp_shift_advance(const WPShifts *s, WPShift *sh, WPTime now, char **why);
 
-/* The state that the move is to be given now; RUNNING: none. The end cannot be
-   taken back, so it wants good answers, or to have looked on without a pause
-   for as long as all stages take. */
-WPShiftState wp_shift_due(const WPShifts *s, WPShift *sh, WPTime now,
-                          char **why);
+/* The state that the shift is to be given now; WP_SHIFT_RUNNING: it goes on.
+   Completing a shift cannot be undone. So it takes enough good answers, or that
+   this box has observed the shift without a pause for as long as all stages
+   take. Unless `why` is NULL, it is set to the reason, freed with g_free(),
+   when the state is another one. */
+WPShiftState wp_shift_due_state(const WPShifts *s, WPShift *sh, WPTime now,
+                                char **why);
 
+/* The state's name in the log. */
 const char *wp_shift_state_name(WPShiftState s);
 
 #endif
--- a/src/wp_suspects.c
+++ b/src/wp_suspects.c
@@ -1,45 +1,65 @@
-/* Requests under which endpoints have ended. */
+/* Suspect requests: requests during which endpoints have crashed. */
 #include "wp_suspects_int.h"
 
 #include <stdlib.h>
 
 enum {
-    SUSPECTS_MOST = 1024, /* an endpoint ends with up to some hundred requests;
-                             a caller may send many different ones */
-    LIVES_MOST = 512,     /* endpoints taken to have ended */
-    RECORD_FROM = 2,      /* lives: most that were merely there have one */
-    TRIES_MOST = 3        /* the platform's bound on what comes later */
+    /* Records of requests. An endpoint that crashes leaves up to some hundred,
+       and a caller may send many different requests. */
+    MAX_RECORDS = 1024,
+    /* Incarnations that are presumed dead. */
+    MAX_DEAD = 512,
+    /* Crashes from which on a record is kept in the store: most requests that
+       only ran on an endpoint that crashed have one. */
+    STORE_CRASHES = 2,
+    /* The platform's limit on sends in quarantine. */
+    MAX_PROBES = 3
 };
 
-/* After an endpoint has crashed it cannot answer for so long; one that does had
-   only lost a connection. Later answers may be another life's under its id. */
+/* A crashed endpoint cannot answer for this long. One that answers within it
+   had only lost a connection; later answers may come from its next incarnation,
+   under the same id. */
 #define ALIVE_WITHIN_US (1000 * WP_US_PER_MS)
 
-#define AT_ONCE_US (30 * WP_US_PER_MS) /* between ends of one cause */
+/* Crashes at most this far apart count as one event with a common cause. */
+#define SAME_EVENT_US (30 * WP_US_PER_MS)
 
-/* What crashes its endpoint does so soon after its first byte; what has run for
-   longer was more likely there by chance. Guards against streams that are kept
-   out for crashes that they met. */
+/* A request that crashes its endpoint does so soon after the first byte of its
+   answer. One that has run for longer than this was more likely there by
+   chance. Guards against streams that are quarantined for crashes that they did
+   not cause. */
 #define LONG_RUN_US (1000 * WP_US_PER_MS)
 
-/* Answers that were on their way come up to so long after a crash. */
-#define ON_THE_WAY_US (100 * WP_US_PER_MS)
+/* Answers that were in transit arrive up to this long after a crash. */
+#define IN_TRANSIT_US (100 * WP_US_PER_MS)
 
-/* A request that ended whole so lately is innocent. */
+/* A request that has completed within this time is trusted not to crash
+   endpoints. */
 #define TRUST_US (5000 * WP_US_PER_MS)
 
-#define FADE_US (600 * WP_US_PER_S)   /* lives below those that keep it out */
-#define CLEARED_US (60 * WP_US_PER_S) /* late news of cleared ones is known */
-#define RECORD_GOES_US (30 * WP_US_PER_S) /* until its record is removed */
-#define DEAD_FADE_US (60 * WP_US_PER_S)   /* endpoints taken to have ended */
+/* A record with fewer crashes than lead to quarantine expires this long after
+   its last change. */
+#define EXPIRE_US (600 * WP_US_PER_S)
+
+/* The same if all its crashes are cleared. The record is kept until then so
+   that updates which arrive late do not count them again. */
+#define EXPIRE_CLEARED_US (60 * WP_US_PER_S)
+
+/* An expired record stays in memory for this long, so that its copy in the
+   store can be removed first. */
+#define STORE_REMOVAL_US (30 * WP_US_PER_S)
+
+/* An incarnation is presumed dead for this long. */
+#define EXPIRE_DEAD_US (60 * WP_US_PER_S)
 
 WPSuspects *wp_suspects_new(uint64_t self)
 {
     WPSuspects *s = g_new0(WPSuspects, 1);
     s->self = self;
-    s->all = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
+    s->by_request =
+        g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
     s->dead = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-    s->running =
+    s->local_attempts =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
     return s;
 }
@@ -48,15 +68,15 @@
 {
     if (!s)
         return;
-    g_hash_table_unref(s->all);
+    g_hash_table_unref(s->by_request);
     g_hash_table_unref(s->dead);
-    g_hash_table_unref(s->running);
+    g_hash_table_unref(s->local_attempts);
     g_free(s);
 }
 
 static WPSuspect *find(WPSuspects *s, uint64_t request)
 {
-    return g_hash_table_lookup(s->all, &request);
+    return g_hash_table_lookup(s->by_request, &request);
 }
 
 const WPSuspect *wp_suspects_find(WPSuspects *s, uint64_t request)
@@ -64,72 +84,75 @@
     return find(s, request);
 }
 
-/* Two that are weak count as one. */
-unsigned wp_suspect_count(const WPSuspect *p)
+/* Two weak crashes count as one. */
+unsigned wp_suspect_crash_count(const WPSuspect *p)
 {
     unsigned halves = 0;
-    for (unsigned i = 0; i < p->n_lives; i++)
-        if (!p->lives[i].cleared)
-            halves += p->lives[i].weak ? 1 : 2;
+    for (unsigned i = 0; i < p->n_crashes; i++)
+        if (!p->crashes[i].cleared)
+            halves += p->crashes[i].weak ? 1 : 2;
     return halves / 2;
 }
 
-unsigned wp_suspects_count(WPSuspects *s, uint64_t request)
+unsigned wp_suspects_crash_count(WPSuspects *s, uint64_t request)
 {
     const WPSuspect *p = find(s, request);
-    return p ? wp_suspect_count(p) : 0;
+    return p ? wp_suspect_crash_count(p) : 0;
 }
 
-static bool is_over(const WPSuspect *p, WPTime now)
+/* Whether the record has expired. One in quarantine never does. */
+static bool is_expired(const WPSuspect *p, WPTime now)
 {
-    unsigned n = wp_suspect_count(p);
+    unsigned n = wp_suspect_crash_count(p);
     int64_t age_us = now.mono_us - p->changed_us;
-    if (n >= WP_SUSPECT_KEPT_OUT)
+    if (n >= WP_SUSPECT_QUARANTINE_CRASHES)
         return false;
-    return age_us > (n ? FADE_US : CLEARED_US);
+    return age_us > (n ? EXPIRE_US : EXPIRE_CLEARED_US);
 }
 
-bool wp_suspect_lasts(const WPSuspect *p, WPTime now)
+bool wp_suspect_is_persistent(const WPSuspect *p, WPTime now)
 {
-    return wp_suspect_count(p) >= RECORD_FROM && !is_over(p, now);
+    return wp_suspect_crash_count(p) >= STORE_CRASHES && !is_expired(p, now);
 }
 
-/* Some time later, so that its record can be removed before. */
-static gboolean suspect_is_over(gpointer key, gpointer value, gpointer arg)
+/* Whether the record expired long enough ago for its copy in the store to have
+   been removed. */
+static gboolean record_is_removable(gpointer key, gpointer value, gpointer arg)
 {
     WPTime earlier = *(const WPTime *)arg;
     (void)key;
-    earlier.mono_us -= RECORD_GOES_US;
-    return is_over(value, earlier);
+    earlier.mono_us -= STORE_REMOVAL_US;
+    return is_expired(value, earlier);
 }
 
-static gboolean dead_is_over(gpointer key, gpointer value, gpointer arg)
+static gboolean dead_is_expired(gpointer key, gpointer value, gpointer arg)
 {
     const WPTime *now = arg;
-    const WPSuspectDead *d = value;
+    const WPDeadIncarnation *d = value;
     (void)key;
-    return now->mono_us - d->at_us > DEAD_FADE_US;
+    return now->mono_us - d->at_us > EXPIRE_DEAD_US;
 }
 
-void wp_suspects_tick(WPSuspects *s, WPTime now)
+void wp_suspects_expire(WPSuspects *s, WPTime now)
 {
-    g_hash_table_foreach_remove(s->all, suspect_is_over, &now);
-    g_hash_table_foreach_remove(s->dead, dead_is_over, &now);
+    g_hash_table_foreach_remove(s->by_request, record_is_removable, &now);
+    g_hash_table_foreach_remove(s->dead, dead_is_expired, &now);
 }
 
-/* The one that is least worth keeping makes room. */
+/* If the table is full, removes the record with the fewest crashes, and of
+   those the one whose last change is the longest ago. */
 static void make_room(WPSuspects *s)
 {
     GHashTableIter it;
     gpointer v;
     const WPSuspect *worst = NULL;
     unsigned least = 0;
-    if (g_hash_table_size(s->all) < SUSPECTS_MOST)
+    if (g_hash_table_size(s->by_request) < MAX_RECORDS)
         return;
-    g_hash_table_iter_init(&it, s->all);
+    g_hash_table_iter_init(&it, s->by_request);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const WPSuspect *p = v;
-        unsigned n = wp_suspect_count(p);
+        unsigned n = wp_suspect_crash_count(p);
         if (worst &&
             (n > least || (n == least && p->changed_us >= worst->changed_us)))
             continue;
@@ -137,10 +160,10 @@
         least = n;
     }
     uint64_t request = worst->request;
-    g_hash_table_remove(s->all, &request);
+    g_hash_table_remove(s->by_request, &request);
 }
 
-WPSuspect *wp_suspects_need(WPSuspects *s, uint64_t request)
+WPSuspect *wp_suspects_get_or_add(WPSuspects *s, uint64_t request)
 {
     WPSuspect *p = find(s, request);
     if (p)
@@ -148,255 +171,269 @@
     make_room(s);
     p = g_new0(WPSuspect, 1);
     p->request = request;
-    g_hash_table_insert(s->all, &p->request, p);
+    g_hash_table_insert(s->by_request, &p->request, p);
     return p;
 }
 
-void wp_suspects_changed(WPSuspects *s, WPTime now, WPSuspect *p, bool own)
+void wp_suspects_mark_changed(WPSuspects *s, WPTime now, WPSuspect *p,
+                              bool local)
 {
     p->changed_us = now.mono_us;
-    p->own = own;
-    p->untold = true;
-    s->untold = true;
+    p->local_origin = local;
+    p->unsent = true;
+    s->unsent = true;
 }
 
-/* The same of a life that counts no more: of what nobody has heard, nobody need
-   hear. */
-static void cleared(WPSuspects *s, WPTime now, WPSuspect *p)
+/* Notes that crashes of the record were cleared. That is sent only if other
+   boxes know of the request. */
+static void mark_cleared(WPSuspects *s, WPTime now, WPSuspect *p)
 {
-    wp_suspects_changed(s, now, p, true);
-    p->untold = p->told;
+    wp_suspects_mark_changed(s, now, p, true);
+    p->unsent = p->known_to_peers;
 }
 
-WPSuspectLife *wp_suspect_life(WPSuspect *p, uint64_t life)
+WPSuspectCrash *wp_suspect_find_crash(WPSuspect *p, uint64_t incarnation)
 {
-    for (unsigned i = 0; i < p->n_lives; i++)
-        if (p->lives[i].life == life)
-            return &p->lives[i];
+    for (unsigned i = 0; i < p->n_crashes; i++)
+        if (p->crashes[i].incarnation == incarnation)
+            return &p->crashes[i];
     return NULL;
 }
 
-/* Returns NULL when it is known, or there are enough. A cleared one makes
-   room. */
-WPSuspectLife *wp_suspect_add(WPSuspect *p, const WPSuspectLife *l)
+WPSuspectCrash *wp_suspect_add_crash(WPSuspect *p, const WPSuspectCrash *c)
 {
-    WPSuspectLife *at = NULL;
-    if (wp_suspect_life(p, l->life))
+    WPSuspectCrash *at = NULL;
+    if (wp_suspect_find_crash(p, c->incarnation))
         return NULL;
-    for (unsigned i = 0; i < p->n_lives && !at; i++)
-        if (p->lives[i].cleared)
-            at = &p->lives[i];
-    if (p->n_lives < WP_SUSPECT_LIVES)
-        at = &p->lives[p->n_lives++];
+    for (unsigned i = 0; i < p->n_crashes && !at; i++)
+        if (p->crashes[i].cleared)
+            at = &p->crashes[i];
+    if (p->n_crashes < WP_SUSPECT_MAX_CRASHES)
+        at = &p->crashes[p->n_crashes++];
     if (at)
-        *at = *l;
+        *at = *c;
     return at;
 }
 
-static WPSuspectWhole *recent_of(WPSuspects *s, uint64_t request)
+/* Where the completion of the request is recorded. Requests whose hashes fall
+   on the same place overwrite each other. */
+static WPSuspectCompletion *completion_of(WPSuspects *s, uint64_t request)
 {
-    return &s->recent[request % WP_SUSPECTS_RECENT];
+    return &s->completions[request % WP_SUSPECTS_RECENT_SLOTS];
 }
 
-bool wp_suspects_trust(WPSuspects *s, WPTime now, uint64_t request)
+bool wp_suspects_completed_recently(WPSuspects *s, WPTime now, uint64_t request)
 {
-    const WPSuspectWhole *r = recent_of(s, request);
+    const WPSuspectCompletion *r = completion_of(s, request);
     return r->request == request && r->at_us &&
            now.mono_us - r->at_us < TRUST_US;
 }
 
-unsigned wp_suspects_legs(const WPSuspects *s, uint64_t request)
+unsigned wp_suspects_local_attempts(const WPSuspects *s, uint64_t request)
 {
-    const WPSuspectLegs *l = g_hash_table_lookup(s->running, &request);
+    const WPLocalAttempts *l = g_hash_table_lookup(s->local_attempts, &request);
     return l ? l->n : 0;
 }
 
-/* Whether a copy of it is under way, here or at another box. */
-static bool is_busy(const WPSuspects *s, const WPSuspect *p, WPTime now)
+/* Whether a copy of the request is in flight, from this box or another one. */
+static bool is_in_flight(const WPSuspects *s, const WPSuspect *p, WPTime now)
 {
-    return p->busy_until_us > now.mono_us || wp_suspects_legs(s, p->request);
+    return p->in_flight_until_us > now.mono_us ||
+           wp_suspects_local_attempts(s, p->request);
 }
 
-static bool ended_on(const WPSuspect *p, uint64_t version)
+/* Whether the request has crashed an endpoint of the version. */
+static bool crashed_on(const WPSuspect *p, uint64_t version)
 {
-    for (unsigned i = 0; i < p->n_lives; i++)
-        if (!p->lives[i].cleared && p->lives[i].version == version)
+    for (unsigned i = 0; i < p->n_crashes; i++)
+        if (!p->crashes[i].cleared && p->crashes[i].version == version)
             return true;
     return false;
 }
 
-/* Moments at which lives ended under it. Many copies of a request that is much
-   in use are in one: a rack that fails ends several endpoints at once. */
-static unsigned moments_of(const WPSuspect *p)
+/* Number of separate events in which endpoints crashed during the request. A
+   rack that fails ends several endpoints in one event, and copies of a request
+   that many callers send may have run on several of them. */
+static unsigned crash_events(const WPSuspect *p)
 {
     unsigned n = 0;
-    for (unsigned i = 0; i < p->n_lives; i++) {
-        bool apart = !p->lives[i].cleared;
-        for (unsigned j = 0; j < i && apart; j++)
-            apart = llabs(p->lives[i].at_us - p->lives[j].at_us) > AT_ONCE_US;
-        n += apart;
+    for (unsigned i = 0; i < p->n_crashes; i++) {
+        bool separate = !p->crashes[i].cleared;
+        for (unsigned j = 0; j < i && separate; j++)
+            separate = llabs(p->crashes[i].at_us - p->crashes[j].at_us) >
+                       SAME_EVENT_US;
+        n += separate;
     }
     return n;
 }
 
-/* Whether a request that is kept out gets one more try. While no more lives
-   have ended than keep it out, the tries before told nothing: their callers
-   left, or their boxes were killed. */
-static bool has_try(const WPSuspect *p, unsigned n, uint64_t version)
+/* Whether a quarantined request may be sent to the version as a probe. `n`:
+   number of crashes that count against it. While that is still the number from
+   which on it is quarantined, the probes before have shown nothing: their
+   callers left, or their boxes were killed. A request whose crashes fall into
+   fewer separate events than that gets one probe at any version. */
+static bool may_probe(const WPSuspect *p, unsigned n, uint64_t version)
 {
-    if (p->tries >= TRIES_MOST)
+    if (p->probes >= MAX_PROBES)
         return false;
-    if (!ended_on(p, version) || n == WP_SUSPECT_KEPT_OUT)
+    if (!crashed_on(p, version) || n == WP_SUSPECT_QUARANTINE_CRASHES)
         return true;
-    return !p->tries && moments_of(p) < WP_SUSPECT_KEPT_OUT;
+    return !p->probes && crash_events(p) < WP_SUSPECT_QUARANTINE_CRASHES;
 }
 
-WPSuspectVerdict wp_suspects_admit(WPSuspects *s, WPTime now, uint64_t request,
-                                   uint64_t version)
+WPSuspectAdmission wp_suspects_admit(WPSuspects *s, WPTime now,
+                                     uint64_t request, uint64_t version)
 {
     const WPSuspect *p = find(s, request);
-    unsigned n = p ? wp_suspect_count(p) : 0;
-    if (!n || wp_suspects_trust(s, now, request))
-        return WP_SUSPECT_FREE;
-    if (n >= WP_SUSPECT_KEPT_OUT && !has_try(p, n, version))
-        return WP_SUSPECT_OUT;
-    return is_busy(s, p, now) ? WP_SUSPECT_BUSY : WP_SUSPECT_FREE;
+    unsigned n = p ? wp_suspect_crash_count(p) : 0;
+    if (!n || wp_suspects_completed_recently(s, now, request))
+        return WP_SUSPECT_ADMITTED;
+    if (n >= WP_SUSPECT_QUARANTINE_CRASHES && !may_probe(p, n, version))
+        return WP_SUSPECT_QUARANTINED;
+    return is_in_flight(s, p, now) ? WP_SUSPECT_IN_FLIGHT : WP_SUSPECT_ADMITTED;
 }
 
-bool wp_suspects_may_go_on(WPSuspects *s, WPTime now, uint64_t request)
+bool wp_suspects_may_retry(WPSuspects *s, WPTime now, uint64_t request)
 {
     const WPSuspect *p = find(s, request);
-    unsigned n = p ? wp_suspect_count(p) : 0;
-    if (!n || wp_suspects_trust(s, now, request))
+    unsigned n = p ? wp_suspect_crash_count(p) : 0;
+    if (!n || wp_suspects_completed_recently(s, now, request))
         return true;
-    return n < WP_SUSPECT_KEPT_OUT && !is_busy(s, p, now);
+    return n < WP_SUSPECT_QUARANTINE_CRASHES && !is_in_flight(s, p, now);
 }
 
-void wp_suspects_sent(WPSuspects *s, WPTime now, uint64_t request)
+void wp_suspects_attempt_started(WPSuspects *s, WPTime now, uint64_t request)
 {
     WPSuspect *p = find(s, request);
-    unsigned n = p ? wp_suspect_count(p) : 0;
-    WPSuspectLegs *l = g_hash_table_lookup(s->running, &request);
+    unsigned n = p ? wp_suspect_crash_count(p) : 0;
+    WPLocalAttempts *l = g_hash_table_lookup(s->local_attempts, &request);
     if (!l) {
-        l = g_new0(WPSuspectLegs, 1);
+        l = g_new0(WPLocalAttempts, 1);
         l->request = request;
-        g_hash_table_insert(s->running, &l->request, l);
+        g_hash_table_insert(s->local_attempts, &l->request, l);
     }
     l->n++;
     if (!n)
         return;
-    if (n >= WP_SUSPECT_KEPT_OUT)
-        p->tries++;
-    if (!wp_suspects_trust(s, now, request)) {
-        p->busy_number++;
-        p->busy_box = s->self;
-        wp_suspects_changed(s, now, p, true);
+    if (n >= WP_SUSPECT_QUARANTINE_CRASHES)
+        p->probes++;
+    if (!wp_suspects_completed_recently(s, now, request)) {
+        p->in_flight_sequence++;
+        p->in_flight_box = s->self;
+        wp_suspects_mark_changed(s, now, p, true);
     }
 }
 
-void wp_suspects_left(WPSuspects *s, uint64_t request)
+void wp_suspects_attempt_ended(WPSuspects *s, uint64_t request)
 {
-    WPSuspectLegs *l = g_hash_table_lookup(s->running, &request);
+    WPLocalAttempts *l = g_hash_table_lookup(s->local_attempts, &request);
     if (l && !--l->n)
-        g_hash_table_remove(s->running, &request);
+        g_hash_table_remove(s->local_attempts, &request);
 }
 
-/* Since when the life is taken to have ended, from now on at the latest. */
-int64_t wp_suspects_died_us(WPSuspects *s, WPTime now, uint64_t life)
+int64_t wp_suspects_dead_since_us(WPSuspects *s, WPTime now,
+                                  uint64_t incarnation)
 {
-    WPSuspectDead *d = g_hash_table_lookup(s->dead, &life);
+    WPDeadIncarnation *d = g_hash_table_lookup(s->dead, &incarnation);
     if (d)
         return d->at_us;
-    if (g_hash_table_size(s->dead) >= LIVES_MOST)
+    if (g_hash_table_size(s->dead) >= MAX_DEAD)
         return now.mono_us;
-    d = g_new0(WPSuspectDead, 1);
-    d->life = life;
+    d = g_new0(WPDeadIncarnation, 1);
+    d->incarnation = incarnation;
     d->at_us = now.mono_us;
-    g_hash_table_insert(s->dead, &d->life, d);
+    g_hash_table_insert(s->dead, &d->incarnation, d);
     return d->at_us;
 }
 
-unsigned wp_suspects_ended(WPSuspects *s, WPTime now, const WPSuspectRun *r)
+unsigned wp_suspects_record_crash(WPSuspects *s, WPTime now,
+                                  const WPSuspectAttempt *r)
 {
-    /* What is sent to an endpoint that is already gone did not end it. */
-    if (r->sent_us > wp_suspects_died_us(s, now, r->life))
-        return wp_suspects_count(s, r->request);
-    WPSuspect *p = wp_suspects_need(s, r->request);
-    const WPSuspectLife l = { .life = r->life,
-                              .version = r->version,
-                              .at_us = now.mono_us,
-                              .weak = r->first_us &&
-                                      now.mono_us - r->first_us > LONG_RUN_US };
-    if (!wp_suspect_add(p, &l))
-        return wp_suspect_count(p);
-    wp_suspects_changed(s, now, p, true);
-    /* What is much in use ends whole in a moment: nobody need know. */
-    if (wp_suspects_trust(s, now, r->request))
-        p->untold = false;
-    return wp_suspect_count(p);
+    /* A request that was sent after the crash did not cause it. */
+    if (r->sent_us > wp_suspects_dead_since_us(s, now, r->incarnation))
+        return wp_suspects_crash_count(s, r->request);
+    WPSuspect *p = wp_suspects_get_or_add(s, r->request);
+    const WPSuspectCrash c = {
+        .incarnation = r->incarnation,
+        .version = r->version,
+        .at_us = now.mono_us,
+        .weak = r->first_byte_us && now.mono_us - r->first_byte_us > LONG_RUN_US
+    };
+    if (!wp_suspect_add_crash(p, &c))
+        return wp_suspect_crash_count(p);
+    wp_suspects_mark_changed(s, now, p, true);
+    /* A request that many callers send completes again in a moment, so the
+       other boxes need not know. */
+    if (wp_suspects_completed_recently(s, now, r->request))
+        p->unsent = false;
+    return wp_suspect_crash_count(p);
 }
 
-bool wp_suspects_is_gone(const WPSuspects *s, uint64_t life)
+bool wp_suspects_is_presumed_dead(const WPSuspects *s, uint64_t incarnation)
 {
-    return g_hash_table_contains(s->dead, &life);
+    return g_hash_table_contains(s->dead, &incarnation);
 }
 
-static void clear_life(WPSuspects *s, WPTime now, uint64_t life)
+/* Clears the crash of the incarnation from all records. */
+static void clear_crash(WPSuspects *s, WPTime now, uint64_t incarnation)
 {
     GHashTableIter it;
     gpointer v;
-    g_hash_table_iter_init(&it, s->all);
+    g_hash_table_iter_init(&it, s->by_request);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        WPSuspectLife *l = wp_suspect_life(v, life);
-        if (!l || l->cleared)
+        WPSuspectCrash *c = wp_suspect_find_crash(v, incarnation);
+        if (!c || c->cleared)
             continue;
-        l->cleared = true;
-        cleared(s, now, v);
+        c->cleared = true;
+        mark_cleared(s, now, v);
     }
 }
 
-void wp_suspects_alive(WPSuspects *s, WPTime now, uint64_t life,
-                       int64_t sent_us)
+void wp_suspects_endpoint_alive(WPSuspects *s, WPTime now, uint64_t incarnation,
+                                int64_t sent_us)
 {
-    const WPSuspectDead *d =
-        g_hash_table_size(s->dead) ? g_hash_table_lookup(s->dead, &life) : NULL;
+    const WPDeadIncarnation *d =
+        g_hash_table_size(s->dead) ? g_hash_table_lookup(s->dead, &incarnation)
+                                   : NULL;
     if (!d)
         return;
     int64_t since_us = now.mono_us - d->at_us;
-    bool after = sent_us > d->at_us || since_us > ON_THE_WAY_US;
-    if (!after || since_us > ALIVE_WITHIN_US)
+    bool after_crash = sent_us > d->at_us || since_us > IN_TRANSIT_US;
+    if (!after_crash || since_us > ALIVE_WITHIN_US)
         return;
-    g_hash_table_remove(s->dead, &life);
-    clear_life(s, now, life);
+    g_hash_table_remove(s->dead, &incarnation);
+    clear_crash(s, now, incarnation);
 }
 
 bool wp_suspect_has_uncleared(const WPSuspect *p)
 {
-    for (unsigned i = 0; i < p->n_lives; i++)
-        if (!p->lives[i].cleared)
+    for (unsigned i = 0; i < p->n_crashes; i++)
+        if (!p->crashes[i].cleared)
             return true;
     return false;
 }
 
+/* Clears all crashes of the record, which may be NULL. Returns whether some
+   counted. */
 static bool clear_all(WPSuspects *s, WPTime now, WPSuspect *p)
 {
     if (!p || !wp_suspect_has_uncleared(p))
         return false;
-    for (unsigned i = 0; i < p->n_lives; i++)
-        p->lives[i].cleared = true;
-    p->busy_until_us = 0;
-    p->tries = 0;
-    cleared(s, now, p);
+    for (unsigned i = 0; i < p->n_crashes; i++)
+        p->crashes[i].cleared = true;
+    p->in_flight_until_us = 0;
+    p->probes = 0;
+    mark_cleared(s, now, p);
     return true;
 }
 
-bool wp_suspects_whole(WPSuspects *s, WPTime now, uint64_t request)
+bool wp_suspects_completed(WPSuspects *s, WPTime now, uint64_t request)
 {
-    *recent_of(s, request) = (WPSuspectWhole){ request, now.mono_us };
+    *completion_of(s, request) = (WPSuspectCompletion){ request, now.mono_us };
     return clear_all(s, now, find(s, request));
 }
 
-bool wp_suspects_let_in(WPSuspects *s, WPTime now, uint64_t request)
+bool wp_suspects_release(WPSuspects *s, WPTime now, uint64_t request)
 {
     return clear_all(s, now, find(s, request));
 }
@@ -406,7 +443,7 @@
 {
     GHashTableIter it;
     gpointer v;
-    g_hash_table_iter_init(&it, s->all);
+    g_hash_table_iter_init(&it, s->by_request);
     while (g_hash_table_iter_next(&it, NULL, &v))
         fn(arg, v);
 }
--- a/src/wp_suspects.h
+++ b/src/wp_suspects.h
@@ -1,14 +1,19 @@
-/* Requests under which endpoints have ended. A request may crash whatever runs
- * it (a query of death) and come again at any box. Each box notes which lives
- * of endpoints ended under which request, boxes tell each other, and what two
- * lives ended under is kept in the store. From the first on only one copy runs
- * at a time over all boxes; from the third on it is kept out, but for one more
- * try at once and one at each version on which none has ended, three in all.
- * One whole answer clears a request of everything: what crashes its endpoint
- * never ends whole, and what merely was there does when it is sent elsewhere.
+/* Suspect requests: requests during which endpoints have crashed. A request may
+ * crash whatever runs it (a query of death), and its caller may repeat it at
+ * any box. Each box records which incarnations of endpoints crashed while they
+ * ran which request, the boxes send each other these records, and the record of
+ * a request with two crashes is kept in the store.
  *
- * Guards against: one request that ends all endpoints again and again while
- * others find none. */
+ * From the first crash on, only one copy of the request runs at a time over all
+ * boxes. From the third crash on the request is quarantined. It may then still
+ * be sent as a probe: one more time at once, and one time to each version on
+ * which it has crashed no endpoint; three probes in all. One complete answer
+ * clears the request of all crashes: a request that crashes its endpoints never
+ * completes, while one that only ran on an endpoint that crashed completes when
+ * it is sent to another.
+ *
+ * Guards against one request that crashes all endpoints again and again, so
+ * that the other requests find none. */
 #ifndef WP_SUSPECTS_H
 #define WP_SUSPECTS_H
 
@@ -16,117 +21,153 @@
 #include "wp_base.h"
 
 enum {
-    WP_SUSPECT_LIVES = 8,    /* that are remembered of one request */
-    WP_SUSPECT_KEPT_OUT = 3, /* lives that ended under it; the platform allows
-                                three more sends after that */
-    WP_SUSPECTS_TOLD = 64    /* in one message */
+    /* Crashes that are recorded of one request. */
+    WP_SUSPECT_MAX_CRASHES = 8,
+    /* Crashes from which on a request is quarantined. The platform allows three
+       more sends then. */
+    WP_SUSPECT_QUARANTINE_CRASHES = 3,
+    /* Records in one message. */
+    WP_SUSPECTS_PER_MESSAGE = 64
 };
 
-/* A life of an endpoint that ended while it ran the request. */
-typedef struct WPSuspectLife {
-    uint64_t life;    /* hash of it */
-    uint64_t version; /* hash of its service and version */
-    int64_t at_us;    /* when this box heard of it; not told */
-    bool weak;        /* it had run there for long */
-    bool cleared;     /* it lived on, or the request has ended whole since */
-} WPSuspectLife;
-
+/* The crash of one incarnation of an endpoint while it ran the request. */
+typedef struct WPSuspectCrash {
+    uint64_t incarnation; /* hash of the incarnation */
+    uint64_t version;     /* hash of the endpoint's service and version */
+    int64_t at_us;        /* when this box recorded it, monotonic; not sent */
+    bool weak;            /* the request had run there for over a second: the
+                             crash counts half */
+    bool cleared; /* does not count any more: the endpoint turned out to be
+                     alive, or the request has completed since */
+} WPSuspectCrash;
+
+/* The record of one suspect request. */
 typedef struct WPSuspect {
-    uint64_t request; /* WPFlow.hash */
-    WPSuspectLife lives[WP_SUSPECT_LIVES];
-    unsigned n_lives;
-    unsigned tries;        /* sends since it is kept out */
-    int64_t busy_until_us; /* another box may be running it */
-    uint64_t busy_box;     /* the one that began the latest copy, by hash */
-    uint32_t busy_number;  /* of that copy */
-    int64_t changed_us;
-    bool own;    /* this box saw what changed last, and writes it first */
-    bool told;   /* other boxes have heard of it */
-    bool untold; /* they are to hear what has changed */
+    uint64_t request; /* hash, by wp_flow_hash() */
+    WPSuspectCrash crashes[WP_SUSPECT_MAX_CRASHES];
+    unsigned n_crashes;
+    unsigned probes; /* times that it was sent in quarantine */
+
+    /* Another box may be running a copy until this monotonic time. */
+    int64_t in_flight_until_us;
+
+    /* The latest copy: hash of the box that started it, and its sequence
+       number, which rises with each copy. */
+    uint64_t in_flight_box;
+    uint32_t in_flight_sequence;
+
+    int64_t changed_us;  /* when the record last changed, monotonic */
+    bool local_origin;   /* this box made the last change; it then writes the
+                            record to the store before other boxes do */
+    bool known_to_peers; /* other boxes know of the request */
+    bool unsent; /* has changes that are still to be sent to the other boxes */
 } WPSuspect;
 
 typedef struct WPSuspects WPSuspects;
 
-/* Of the box with this hash. */
+/* An empty table for the box whose id has this hash. */
 WPSuspects *wp_suspects_new(uint64_t self);
 void wp_suspects_free(WPSuspects *s);
 
-/* Forgets what is over. */
-void wp_suspects_tick(WPSuspects *s, WPTime now);
+/* Removes the records that have expired. */
+void wp_suspects_expire(WPSuspects *s, WPTime now);
 
-/* What is known of a request; NULL: nothing. */
+/* The request's record; NULL if there is none. */
 const WPSuspect *wp_suspects_find(WPSuspects *s, uint64_t request);
 
-/* Lives that count against a request; 0: it is not known. */
-unsigned wp_suspects_count(WPSuspects *s, uint64_t request);
-
-typedef enum WPSuspectVerdict {
-    WP_SUSPECT_FREE,
-    WP_SUSPECT_BUSY, /* another copy runs, and may end its endpoint */
-    WP_SUSPECT_OUT   /* it has ended too many */
-} WPSuspectVerdict;
-
-/* Whether a caller's request may be sent to an endpoint of this version. */
-WPSuspectVerdict wp_suspects_admit(WPSuspects *s, WPTime now, uint64_t request,
-                                   uint64_t version);
-
-/* Whether a request whose endpoint has just ended may be sent once more. */
-bool wp_suspects_may_go_on(WPSuspects *s, WPTime now, uint64_t request);
-
-/* A leg of any request begins, and ends. */
-void wp_suspects_sent(WPSuspects *s, WPTime now, uint64_t request);
-void wp_suspects_left(WPSuspects *s, uint64_t request);
-
-/* One run of a request. */
-typedef struct WPSuspectRun {
-    uint64_t request, life, version;
+/* Number of crashes that count against the request; 0 if it has no record. */
+unsigned wp_suspects_crash_count(WPSuspects *s, uint64_t request);
+
+typedef enum WPSuspectAdmission {
+    WP_SUSPECT_ADMITTED,   /* the request may be sent */
+    WP_SUSPECT_IN_FLIGHT,  /* another copy is in flight and may crash its
+                              endpoint */
+    WP_SUSPECT_QUARANTINED /* the request is quarantined */
+} WPSuspectAdmission;
+
+/* Whether a request that a caller has sent may go to an endpoint of this
+   version. */
+WPSuspectAdmission wp_suspects_admit(WPSuspects *s, WPTime now,
+                                     uint64_t request, uint64_t version);
+
+/* Whether a request whose endpoint has just crashed may be retried. */
+bool wp_suspects_may_retry(WPSuspects *s, WPTime now, uint64_t request);
+
+/* Notes that an attempt of a request, suspect or not, starts or has ended at
+   this box. Each start is followed by one end. */
+void wp_suspects_attempt_started(WPSuspects *s, WPTime now, uint64_t request);
+void wp_suspects_attempt_ended(WPSuspects *s, uint64_t request);
+
+/* One attempt of a request at an endpoint; hashes as in WPSuspectCrash,
+   monotonic times. */
+typedef struct WPSuspectAttempt {
+    uint64_t request, incarnation, version;
     int64_t sent_us;
-    int64_t first_us; /* when its first byte came; 0: it has not */
-} WPSuspectRun;
-
-/* The connection on which an endpoint ran it has ended before its answer.
-   Returns the lives that count against it now. */
-unsigned wp_suspects_ended(WPSuspects *s, WPTime now, const WPSuspectRun *r);
-
-/* Whether the life is taken to have ended. */
-bool wp_suspects_is_gone(const WPSuspects *s, uint64_t life);
-
-/* An endpoint has answered a request that was sent to it then: if it was taken
-   to have ended, it has not. */
-void wp_suspects_alive(WPSuspects *s, WPTime now, uint64_t life,
-                       int64_t sent_us);
-
-/* The request has been answered whole. Returns true when it was in doubt. */
-bool wp_suspects_whole(WPSuspects *s, WPTime now, uint64_t request);
-
-/* An operator lets it in again. */
-bool wp_suspects_let_in(WPSuspects *s, WPTime now, uint64_t request);
-
-/* What another box, or the store, tells. Returns true when that was new. */
-bool wp_suspects_hear(WPSuspects *s, WPTime now, const Wp__Suspect *m);
-
-/* Whether there is anything to tell; some of it, what has ended the most first,
-   which then counts as told: `most` up to WP_SUSPECTS_TOLD. All of it is told
-   again when a box comes. */
-bool wp_suspects_any_untold(const WPSuspects *s);
-size_t wp_suspects_tell(WPSuspects *s, WPSuspect *out, size_t most);
-void wp_suspects_tell_all(WPSuspects *s);
-
-/* For the wire and the store; `m` points into `room`. */
-typedef struct WPSuspectRoom {
-    uint64_t lives[WP_SUSPECT_LIVES], versions[WP_SUSPECT_LIVES];
-    protobuf_c_boolean cleared[WP_SUSPECT_LIVES], weak[WP_SUSPECT_LIVES];
-} WPSuspectRoom;
-
-void wp_suspect_fill(const WPSuspect *p, WPTime now, WPSuspectRoom *room,
-                     Wp__Suspect *m);
-
-/* Lives that count. */
-unsigned wp_suspect_count(const WPSuspect *p);
-
-/* Whether it is to be in the store: two lives count, and not for too long. */
-bool wp_suspect_lasts(const WPSuspect *p, WPTime now);
-
+    int64_t first_byte_us; /* first byte of the answer; 0: none has come */
+} WPSuspectAttempt;
+
+/* Records that the connection to the endpoint was lost before the answer had
+   ended, which is taken for a crash. An attempt that began after the
+   incarnation's crash is not recorded, as it did not cause it. Returns the
+   number of crashes that count against the request now. */
+unsigned wp_suspects_record_crash(WPSuspects *s, WPTime now,
+                                  const WPSuspectAttempt *r);
+
+/* Whether the incarnation of an endpoint is presumed dead. */
+bool wp_suspects_is_presumed_dead(const WPSuspects *s, uint64_t incarnation);
+
+/* Notes that the incarnation has answered a request that was sent at `sent_us`.
+   If it was presumed dead and the answer shows that it is not, its crash is
+   cleared from all records. */
+void wp_suspects_endpoint_alive(WPSuspects *s, WPTime now, uint64_t incarnation,
+                                int64_t sent_us);
+
+/* Notes that the request was answered completely, which clears it of all
+   crashes. Returns whether there were any that counted. */
+bool wp_suspects_completed(WPSuspects *s, WPTime now, uint64_t request);
+
+/* Clears the request of all crashes by an operator's order. Returns whether
+   there were any that counted. */
+bool wp_suspects_release(WPSuspects *s, WPTime now, uint64_t request);
+
+/* Merges a record from another box or from the store. Returns whether it
+   contained anything new. */
+bool wp_suspects_merge(WPSuspects *s, WPTime now, const Wp__Suspect *m);
+
+/* Whether there are changes to be sent to the other boxes. */
+bool wp_suspects_any_unsent(const WPSuspects *s);
+
+/* Copies up to `max` records with such changes to `out`, those with the most
+   crashes first, and marks them as sent. `max` is WP_SUSPECTS_PER_MESSAGE or
+   less. Returns the number of records. */
+size_t wp_suspects_take_unsent(WPSuspects *s, WPSuspect *out, size_t max);
+
+/* Marks all records with crashes that count as to be sent; to be called when
+   another box has connected. */
+void wp_suspects_mark_all_unsent(WPSuspects *s);
+
+/* Arrays that a message points into. */
+typedef struct WPSuspectBuffers {
+    uint64_t incarnations[WP_SUSPECT_MAX_CRASHES],
+        versions[WP_SUSPECT_MAX_CRASHES];
+    protobuf_c_boolean cleared[WP_SUSPECT_MAX_CRASHES],
+        weak[WP_SUSPECT_MAX_CRASHES];
+} WPSuspectBuffers;
+
+/* Fills `m`, for the wire or the store, with the record. `m` points into
+   `buffers`, which must outlive it. */
+void wp_suspect_encode(const WPSuspect *p, WPTime now,
+                       WPSuspectBuffers *buffers, Wp__Suspect *m);
+
+/* Number of crashes that count against the request: two weak ones count as
+   one. */
+unsigned wp_suspect_crash_count(const WPSuspect *p);
+
+/* Whether the record is to be kept in the store: at least two crashes count,
+   and the record has not expired. */
+bool wp_suspect_is_persistent(const WPSuspect *p, WPTime now);
+
+/* Calls `fn` for each record. */
 void wp_suspects_each(WPSuspects *s, void (*fn)(void *arg, const WPSuspect *p),
                       void *arg);
 
--- a/src/wp_suspects_int.h
+++ b/src/wp_suspects_int.h
@@ -1,67 +1,82 @@
-/* What wp_suspects.c and wp_suspects_tell.c share. */
+/* Declarations that wp_suspects.c and wp_suspects_gossip.c share. */
 #ifndef WP_SUSPECTS_INT_H
 #define WP_SUSPECTS_INT_H
 
 #include "wp_suspects.h"
 
-enum { WP_SUSPECTS_RECENT = 1024 /* requests that have ended whole lately */ };
+enum {
+    WP_SUSPECTS_RECENT_SLOTS = 1024 /* requests that have completed recently */
+};
 
-/* Another box runs it for so long at most, unless it tells more. */
-#define WP_SUSPECT_BUSY_US (1500 * WP_US_PER_MS)
+/* For at most this long, another box is assumed to run a copy of a request,
+   unless it sends a further update. */
+#define WP_SUSPECT_IN_FLIGHT_MAX_US (1500 * WP_US_PER_MS)
 
-typedef struct WPSuspectWhole {
+/* A request that has completed at this box; monotonic time. */
+typedef struct WPSuspectCompletion {
     uint64_t request;
     int64_t at_us;
-} WPSuspectWhole;
+} WPSuspectCompletion;
 
-/* An endpoint's life that is taken to have ended. */
-typedef struct WPSuspectDead {
-    uint64_t life;
-    int64_t at_us;
-} WPSuspectDead;
+/* An incarnation of an endpoint that is presumed dead. */
+typedef struct WPDeadIncarnation {
+    uint64_t incarnation;
+    int64_t at_us; /* since when, monotonic */
+} WPDeadIncarnation;
 
-/* Legs of one request that are under way here. */
-typedef struct WPSuspectLegs {
+/* Number of attempts of one request that are in flight from this box. */
+typedef struct WPLocalAttempts {
     uint64_t request;
     unsigned n;
-} WPSuspectLegs;
+} WPLocalAttempts;
 
 struct WPSuspects {
-    GHashTable *all; /* request -> WPSuspect */
+    GHashTable *by_request; /* request -> WPSuspect */
+
+    /* request -> WPLocalAttempts: all requests of this box, suspect or not.
+       Copies that were sent before the first crash must count too: without them
+       more endpoints crash. */
+    GHashTable *local_attempts;
+
+    GHashTable *dead; /* incarnation -> WPDeadIncarnation */
+    uint64_t self;    /* hash of this box's id */
 
-    /* request -> WPSuspectLegs: all of this box, in doubt or not, as copies
-       that were sent before the first crash count as well: more endpoints end
-       without them */
-    GHashTable *running;
+    /* Each at the request's hash modulo the size. */
+    WPSuspectCompletion completions[WP_SUSPECTS_RECENT_SLOTS];
 
-    GHashTable *dead; /* life -> WPSuspectDead */
-    uint64_t self;
-    WPSuspectWhole recent[WP_SUSPECTS_RECENT];
-    bool untold;
+    bool unsent; /* some record has changes that are still to be sent */
 };
 
-/* The request's record, made when it is missing. */
-WPSuspect *wp_suspects_need(WPSuspects *s, uint64_t request);
+/* The request's record; added if it is missing. */
+WPSuspect *wp_suspects_get_or_add(WPSuspects *s, uint64_t request);
 
-/* The others are to hear of it; `own`: this box saw it. */
-void wp_suspects_changed(WPSuspects *s, WPTime now, WPSuspect *p, bool own);
+/* Notes a change of the record, to be sent to the other boxes. `local`: this
+   box made the change, otherwise it received it. */
+void wp_suspects_mark_changed(WPSuspects *s, WPTime now, WPSuspect *p,
+                              bool local);
 
-/* One of its lives; NULL: it is not among them. */
-WPSuspectLife *wp_suspect_life(WPSuspect *p, uint64_t life);
+/* The record's crash of this incarnation; NULL if it has none. */
+WPSuspectCrash *wp_suspect_find_crash(WPSuspect *p, uint64_t incarnation);
 
-/* Returns NULL when it is known, or there are enough. A cleared one makes
-   room. */
-WPSuspectLife *wp_suspect_add(WPSuspect *p, const WPSuspectLife *l);
+/* Adds a copy of the crash to the record; in place of a cleared one, if the
+   record is full. Returns NULL if the record has a crash of the same
+   incarnation, or is full of crashes that count. */
+WPSuspectCrash *wp_suspect_add_crash(WPSuspect *p, const WPSuspectCrash *c);
 
+/* Whether the record has a crash that is not cleared. */
 bool wp_suspect_has_uncleared(const WPSuspect *p);
 
-/* Whether it has ended whole so lately here that it is innocent. */
-bool wp_suspects_trust(WPSuspects *s, WPTime now, uint64_t request);
+/* Whether the request has completed at this box so recently that it is trusted
+   not to crash endpoints. */
+bool wp_suspects_completed_recently(WPSuspects *s, WPTime now,
+                                    uint64_t request);
 
-/* Legs of it that are under way at this box. */
-unsigned wp_suspects_legs(const WPSuspects *s, uint64_t request);
+/* Number of attempts of the request that are in flight from this box. */
+unsigned wp_suspects_local_attempts(const WPSuspects *s, uint64_t request);
 
-/* Since when the life is taken to have ended, from now on at the latest. */
-int64_t wp_suspects_died_us(WPSuspects *s, WPTime now, uint64_t life);
+/* Since when the incarnation is presumed dead, in monotonic microseconds. If it
+   was not until now, it is from `now` on, unless too many are already. */
+int64_t wp_suspects_dead_since_us(WPSuspects *s, WPTime now,
+                                  uint64_t incarnation);
 
 #endif
--- a/tests/shift_fake.h
+++ b/tests/shift_fake.h
@@ -9,8 +9,8 @@
 static inline WPShift *order(Fake *k)
 {
     WPShiftOrder o = { "llm", "v2", DURATION_MS, 10 };
-    WPShift *sh = wp_shifts_order(k->d.shifts, k->now, &o);
-    wp_shift_hear_elapsed(sh, k->now, 0);
+    WPShift *sh = wp_shifts_add_order(k->d.shifts, k->now, &o);
+    wp_shift_merge_elapsed(sh, k->now, 0);
     fake_put(k, "n1", "llm", "v2", false);
     fake_put(k, "n2", "llm", "v2", false);
     return sh;
@@ -19,7 +19,7 @@
 /* The move turns out to have begun so long ago. */
 static inline void begun_before(Fake *k, WPShift *sh, int64_t ms)
 {
-    wp_shift_hear_elapsed(sh, k->now, ms);
+    wp_shift_merge_elapsed(sh, k->now, ms);
 }
 
 /* The store's record of how a move stands, written at this revision. */
@@ -27,7 +27,7 @@
                            WPShiftState state)
 {
     const WPShiftOrder o = { "llm", version, 0, revision };
-    wp_shifts_outcome(k->d.shifts, &o, state);
+    wp_shifts_apply_outcome(k->d.shifts, &o, state);
 }
 
 /* Lets so much time pass with a look at the move at each tick, as a process
@@ -39,7 +39,7 @@
         g_autofree char *why = NULL;
         fake_pass(k, LOOK_MS);
         wp_shift_advance(k->d.shifts, sh, k->now, &why);
-        due = wp_shift_due(k->d.shifts, sh, k->now, NULL);
+        due = wp_shift_due_state(k->d.shifts, sh, k->now, NULL);
     }
     return due;
 }
@@ -64,13 +64,13 @@
 {
     for (unsigned i = 0; i < n; i++) {
         bool is_slow = i >= failed && i < failed + slow;
-        const WPShiftAnswer a = { .version = version,
-                                  .replica = replica,
-                                  .route = route,
-                                  .failed = i < failed,
-                                  .time =
-                                      is_slow ? WP_TIME_SLOW : WP_TIME_USUAL };
-        wp_shift_answered(sh, &a);
+        const WPCanaryAnswer a = { .version = version,
+                                   .replica = replica,
+                                   .route = route,
+                                   .failed = i < failed,
+                                   .time = is_slow ? WP_TIME_SLOW
+                                                   : WP_TIME_MIDDLE };
+        wp_shift_record_answer(sh, &a);
     }
 }
 
@@ -80,14 +80,15 @@
                               const char *replica, double taken, unsigned fast,
                               unsigned usual, unsigned slow)
 {
-    WPShiftAnswer a = {
-        .version = version, .replica = replica, .route = "chat", .taken = taken
-    };
+    WPCanaryAnswer a = { .version = version,
+                         .replica = replica,
+                         .route = "chat",
+                         .utilization = taken };
     for (unsigned i = 0; i < fast + usual + slow; i++) {
         a.time = i < fast           ? WP_TIME_FAST
-                 : i < fast + usual ? WP_TIME_USUAL
+                 : i < fast + usual ? WP_TIME_MIDDLE
                                     : WP_TIME_SLOW;
-        wp_shift_answered(sh, &a);
+        wp_shift_record_answer(sh, &a);
     }
 }
 
--- a/tests/test_flow.c
+++ b/tests/test_flow.c
@@ -133,7 +133,7 @@
     }
     /* A stale listing does not bring it back. */
     fake_put(&k, "a1", "app", "v1", false);
-    assert_true(wp_fleet_find(k.d.fleet, "a1")->reported.leaving.from);
+    assert_true(wp_fleet_find(k.d.fleet, "a1")->reported.draining.source);
     fake_end(&k);
 }
 
--- a/tests/test_lives.c
+++ b/tests/test_lives.c
@@ -41,8 +41,8 @@
     WPReplica *s = wp_fleet_find(k.d.fleet, "e1");
     assert_ptr_not_equal(s, had);
     assert_true(had->gone);
-    assert_false(s->reported.leaving.from);
-    assert_int_equal(s->reported.load_us, 0);
+    assert_false(s->reported.draining.source);
+    assert_int_equal(s->reported.load_reported_us, 0);
     assert_int_equal(s->consecutive_failures, 0);
     assert_int_equal(s->avoid_until_us, 0);
     assert_int_equal(wp_prefix_cache_size(s->prefix_cache), 0);
@@ -66,7 +66,7 @@
     late.cold_left_ms = 60000;
     assert_false(wp_fleet_put(k.d.fleet, k.now, &late));
     assert_ptr_equal(wp_fleet_find(k.d.fleet, "e1"), s);
-    assert_false(s->reported.leaving.from);
+    assert_false(s->reported.draining.source);
     assert_true(s->reported.cold_until_us <= k.now.mono_us);
     fake_end(&k);
 }
--- a/tests/test_move_end.c
+++ b/tests/test_move_end.c
@@ -112,7 +112,7 @@
     fake_init(&k);
     order(&k);
     outcome(&k, "v2", 20, WP_SHIFT_DONE);
-    WPShift *sh = wp_shifts_order(k.d.shifts, k.now, &again);
+    WPShift *sh = wp_shifts_add_order(k.d.shifts, k.now, &again);
     outcome(&k, "v2", 20, WP_SHIFT_DONE);
     assert_int_equal(sh->state, WP_SHIFT_RUNNING);
     outcome(&k, "v2", 40, WP_SHIFT_DONE);
@@ -132,11 +132,11 @@
     feed(sh, "v1", "l1", "chat", 46, 0, 0);
     feed(sh, "v2", "n1", "chat", 2, 2, 0);
     feed(sh, "v2", "n2", "chat", 1, 1, 0);
-    assert_false(wp_trial_is_bad(&sh->trial, true, NULL));
+    assert_false(wp_canary_is_bad(&sh->canary, true, NULL));
     assert_int_equal(look_on(&k, sh, 2 * DURATION_MS), WP_SHIFT_RUNNING);
     /* Two more are enough; so would be good ones for the move to go on. */
     feed(sh, "v2", "n2", "chat", 2, 2, 0);
-    assert_int_equal(look_on(&k, sh, LOOK_MS), WP_SHIFT_UNDONE);
+    assert_int_equal(look_on(&k, sh, LOOK_MS), WP_SHIFT_ROLLED_BACK);
     fake_end(&k);
 
     fake_init(&k);
@@ -153,7 +153,7 @@
    counts. */
 static void boxes_judge_failures_by_the_same_figures(void **state)
 {
-    const WPShiftSums others = { .old_answered = 474 };
+    const WPCanarySums others = { .old_answered = 474 };
     (void)state;
     for (int told = 0; told < 2; told++) {
         Fake k;
@@ -163,7 +163,7 @@
         feed(sh, "v1", "l1", "chat", 55, 0, 0);
         feed(sh, "v2", "n1", "chat", 1, 1, 0);
         if (told)
-            wp_trial_hear(&sh->trial, "e2", 1, &others);
+            wp_canary_merge_report(&sh->canary, "e2", 1, &others);
         assert_int_equal(look_on(&k, sh, 2 * DURATION_MS),
                          told ? WP_SHIFT_RUNNING : WP_SHIFT_DONE);
         fake_end(&k);
--- a/tests/test_news_fuzz.c
+++ b/tests/test_news_fuzz.c
@@ -111,10 +111,10 @@
         break;
     case WP_NEWS_ORDER:
         assert_non_null(n->order.version);
-        wp_shifts_order(k->d.shifts, k->now, &n->order);
+        wp_shifts_add_order(k->d.shifts, k->now, &n->order);
         break;
     case WP_NEWS_OUTCOME:
-        wp_shifts_outcome(k->d.shifts, &n->order, n->state);
+        wp_shifts_apply_outcome(k->d.shifts, &n->order, n->state);
         break;
     case WP_NEWS_BAD:
         assert_non_null(n->problem);
--- a/tests/test_notice.c
+++ b/tests/test_notice.c
@@ -13,15 +13,16 @@
     g_autofree char *huge = g_strnfill(10240, '1');
     (void)state;
     for (size_t i = 0; i < WP_COUNT(bad); i++)
-        if (wp_notice_read_leaving(wp_str(bad[i]), 1).said != WP_NOTICE_BAD)
+        if (wp_notice_read_draining(wp_str(bad[i]), 1).status !=
+            WP_NOTICE_INVALID)
             fail_msg("'%s' was taken", bad[i]);
-    assert_int_equal(wp_notice_read_leaving(wp_str(huge), 1).said,
-                     WP_NOTICE_BAD);
-    assert_int_equal(wp_notice_read_leaving(wp_str("1"), 2).said,
-                     WP_NOTICE_BAD);
-    assert_int_equal(wp_notice_read_leaving(wp_str(" 1 "), 1).said,
-                     WP_NOTICE_GIVEN);
-    assert_int_equal(wp_notice_read_leaving(wp_str(""), 0).said,
+    assert_int_equal(wp_notice_read_draining(wp_str(huge), 1).status,
+                     WP_NOTICE_INVALID);
+    assert_int_equal(wp_notice_read_draining(wp_str("1"), 2).status,
+                     WP_NOTICE_INVALID);
+    assert_int_equal(wp_notice_read_draining(wp_str(" 1 "), 1).status,
+                     WP_NOTICE_PRESENT);
+    assert_int_equal(wp_notice_read_draining(wp_str(""), 0).status,
                      WP_NOTICE_NONE);
 }
 
@@ -42,19 +43,20 @@
     g_autofree char *huge = g_strnfill(10240, 'S');
     (void)state;
     for (size_t i = 0; i < WP_COUNT(bad); i++)
-        if (wp_notice_read_rest(wp_str(bad[i]), 1, before).said !=
-            WP_NOTICE_BAD)
+        if (wp_notice_read_backoff(wp_str(bad[i]), 1, before).status !=
+            WP_NOTICE_INVALID)
             fail_msg("'%s' was taken", bad[i]);
-    assert_int_equal(wp_notice_read_rest(wp_str(huge), 1, before).said,
-                     WP_NOTICE_BAD);
-    assert_int_equal(wp_notice_read_rest(wp_str("3"), 2, before).said,
-                     WP_NOTICE_BAD);
-    assert_int_equal(wp_notice_read_rest(wp_str(""), 0, before).said,
+    assert_int_equal(wp_notice_read_backoff(wp_str(huge), 1, before).status,
+                     WP_NOTICE_INVALID);
+    assert_int_equal(wp_notice_read_backoff(wp_str("3"), 2, before).status,
+                     WP_NOTICE_INVALID);
+    assert_int_equal(wp_notice_read_backoff(wp_str(""), 0, before).status,
                      WP_NOTICE_NONE);
-    assert_true(wp_notice_read_rest(wp_str(" 1.25 "), 1, before).rest_s ==
+    assert_true(wp_notice_read_backoff(wp_str(" 1.25 "), 1, before).backoff_s ==
                 1.25);
-    assert_true(wp_notice_read_rest(wp_str(date), 1, before).rest_s == 2.5);
-    assert_true(wp_notice_read_rest(wp_str(date), 1, after).rest_s == 0);
+    assert_true(wp_notice_read_backoff(wp_str(date), 1, before).backoff_s ==
+                2.5);
+    assert_true(wp_notice_read_backoff(wp_str(date), 1, after).backoff_s == 0);
 }
 
 /* An answer with its endpoint's word that it leaves, or a refusal that asks for
@@ -62,7 +64,7 @@
 static WPDirectAnswer leaving_answer(int status)
 {
     WPDirectAnswer a = fake_answer(status, 90);
-    a.leaving.said = WP_NOTICE_GIVEN;
+    a.leaving.status = WP_NOTICE_PRESENT;
     return a;
 }
 
@@ -71,7 +73,7 @@
     WPDirectAnswer a = fake_answer(503, -1);
     a.not_run = true;
     a.genuine = false;
-    a.rest = (WPNoticeField){ WP_NOTICE_GIVEN, rest_s };
+    a.rest = (WPNoticeField){ WP_NOTICE_PRESENT, rest_s };
     return a;
 }
 
@@ -172,7 +174,7 @@
     fake_init(&k);
     wrong.wrong = wrong.not_run = true;
     const char *id = answered(&k, "/safe/x", &wrong);
-    assert_false(wp_fleet_find(k.d.fleet, id)->reported.leaving.from);
+    assert_false(wp_fleet_find(k.d.fleet, id)->reported.draining.source);
     fake_end(&k);
 }
 
@@ -382,7 +384,7 @@
     Fake k;
     (void)state;
     fake_init(&k);
-    own.rest = (WPNoticeField){ WP_NOTICE_GIVEN, 60 };
+    own.rest = (WPNoticeField){ WP_NOTICE_PRESENT, 60 };
     answered(&k, "/safe/x", &full);
     answered(&k, "/safe/x", &own);
     const WPNoticeCount n = wp_fleet_count_notices(k.d.fleet, k.now);
@@ -571,8 +573,8 @@
     Fake k;
     (void)state;
     fake_init(&k);
-    bad.leaving.said = WP_NOTICE_BAD;
-    bad.rest.said = WP_NOTICE_BAD;
+    bad.leaving.status = WP_NOTICE_INVALID;
+    bad.rest.status = WP_NOTICE_INVALID;
     unsigned reported = 0;
     for (int i = 0; i < 500; i++) {
         WPFlow *f = fake_ask(&k, "/safe/x", NULL, &m);
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -81,7 +81,7 @@
     n = news(PF_K_OUTCOME "s",
              "{\"state\":\"rolled_back\",\"targetVersion\":\"v2\"}", 12);
     assert_int_equal(n.kind, WP_NEWS_OUTCOME);
-    assert_int_equal(n.state, WP_SHIFT_UNDONE);
+    assert_int_equal(n.state, WP_SHIFT_ROLLED_BACK);
     pf_news_end(&n);
     n = news(PF_K_CONFIG, "[]", 13);
     assert_int_equal(n.kind, WP_NEWS_BAD);
@@ -184,7 +184,7 @@
 {
     WPShift sh = { .service = (char *)"s", .version = (char *)"v2" };
     (void)state;
-    for (int st = WP_SHIFT_RUNNING; st <= WP_SHIFT_UNDONE; st++) {
+    for (int st = WP_SHIFT_RUNNING; st <= WP_SHIFT_ROLLED_BACK; st++) {
         g_autofree char *key = pf_outcome_key("s");
         g_autofree char *text = pf_outcome_text(&sh, (WPShiftState)st);
         WPNews n = news(key, text, 3);
--- a/tests/test_rollout.c
+++ b/tests/test_rollout.c
@@ -60,14 +60,14 @@
     Wp__Chart *ch = chart();
     g_autofree char *why = NULL;
     char *state = NULL;
-    WPWatch w;
-    wp_watch_init(&w);
+    WPRolloutMonitor w;
+    wp_rollout_monitor_init(&w);
     if (ratings)
         rate(q, p, 1, good);
-    wp_watch_look(&w, p, q, at_ms(1000));
+    wp_rollout_monitor_poll(&w, p, q, at_ms(1000));
     if (ratings)
         rate(q, p, 1 + ratings, good);
-    wp_watch_look(&w, p, q, at_ms(now_ms));
+    wp_rollout_monitor_poll(&w, p, q, at_ms(now_ms));
     GPtrArray *ops = wp_rollout_step(ch, p, q, &w, at_ms(now_ms), &why);
     *withdrawn = false;
     for (guint i = 0; ops && i < ops->len; i++) {
@@ -81,7 +81,7 @@
     }
     if (ops)
         wp_ops_free(ops);
-    wp_watch_end(&w);
+    wp_rollout_monitor_end(&w);
     wp_pb_free(ch);
     wp_quality_free(q);
     wp_policy_unref(p);
@@ -98,16 +98,16 @@
     WPPolicy *p = wp_policy_new(c);
     WPQuality *q = wp_quality_new();
     Wp__Chart *ch = chart();
-    WPWatch w;
+    WPRolloutMonitor w;
     WPTime now = at_ms(1000);
     g_autofree char *why = NULL;
     (void)unused;
-    wp_watch_init(&w);
-    wp_watch_look(&w, p, q, now);
+    wp_rollout_monitor_init(&w);
+    wp_rollout_monitor_poll(&w, p, q, now);
     rate(q, p, 10, 0.9);
-    wp_watch_look(&w, p, q, now);
+    wp_rollout_monitor_poll(&w, p, q, now);
     now.wall_ms += 60000;
-    wp_watch_look(&w, p, q, now);
+    wp_rollout_monitor_poll(&w, p, q, now);
     assert_null(wp_rollout_step(ch, p, q, &w, now, &why));
     now.mono_us += 20 * WP_US_PER_S;
     assert_null(wp_rollout_step(ch, p, q, &w, now, &why));
@@ -115,7 +115,7 @@
     GPtrArray *ops = wp_rollout_step(ch, p, q, &w, now, &why);
     assert_non_null(ops);
     wp_ops_free(ops);
-    wp_watch_end(&w);
+    wp_rollout_monitor_end(&w);
     wp_pb_free(ch);
     wp_quality_free(q);
     wp_policy_unref(p);
@@ -232,7 +232,7 @@
     (void)unused;
     rate(q, p, 1, 0.9); /* what came before this box counts as past */
     rate(q, p, 60, 0.3);
-    assert_null(wp_stop_bad(p, q, (WPTime){ 0, 1 }, &why));
+    assert_null(wp_withdraw_bad_version(p, q, (WPTime){ 0, 1 }, &why));
     wp_quality_free(q);
     wp_policy_unref(p);
     wp_config_free(c);
--- a/tests/test_seen.c
+++ b/tests/test_seen.c
@@ -53,7 +53,7 @@
     (void)state;
     site_init(&s);
     WPShift *sh = start_move(&s, NULL, NULL);
-    wp_shift_hear_elapsed(sh, wp_clock_now(0), ORDER_MS / 2);
+    wp_shift_merge_elapsed(sh, wp_clock_now(0), ORDER_MS / 2);
     feed_times(sh, "v2", "n1", 0.02, 0, 4, 5);
     feed_times(sh, "v2", "n2", 0.02, 1, 4, 5);
     wait_record(&s, &ms);
@@ -65,11 +65,11 @@
 
     site_init(&s);
     sh = start_move(&s, key, record);
-    WPShiftSums all = wp_trial_pooled(&sh->trial);
+    WPCanarySums all = wp_canary_pooled_sums(&sh->canary);
     assert_int_equal(all.answered, 19);
     assert_int_equal(all.slow, 10);
-    assert_true(all.slow_spread);
-    assert_int_equal(wp_trial_own(&sh->trial).answered, 0);
+    assert_true(all.slowness_widespread);
+    assert_int_equal(wp_canary_own_sums(&sh->canary).answered, 0);
     assert_true(wp_elapsed_ms(&sh->elapsed, wp_clock_now(0)) >= ORDER_MS / 2);
     /* The next life adds to it, and the record has both. */
     feed_times(sh, "v2", "n1", 0.02, 0, 0, 2);
@@ -84,7 +84,7 @@
     /* Its own record, told back by the store, counts nothing twice. */
     wp_seen_take(s.host.sync, "llm/e1",
                  wp_strn((const char *)store.value->data, store.value->len));
-    assert_int_equal(wp_trial_pooled(&sh->trial).answered, 21);
+    assert_int_equal(wp_canary_pooled_sums(&sh->canary).answered, 21);
     site_end(&s);
 }
 
