--- a/tests/test_shift.c
+++ b/tests/test_shift.c
@@ -193,7 +193,7 @@
     fake_pass(&k, DURATION_MS * 6 / 10);
     assert_string_equal(serve(&k, "s"), "v2");
     /* Another box may have heard later that the move began. */
-    wp_shifts_find(k.d.shifts, "llm")->elapsed.from_us +=
+    wp_shifts_find(k.d.shifts, "llm")->elapsed.start_us +=
         DURATION_MS * 2 / 10 * WP_US_PER_MS;
     assert_string_equal(serve(&k, "s"), "v2");
     fake_end(&k);
@@ -227,7 +227,7 @@
     assert_true(g_file_get_contents(path, &text, &n, NULL));
     fake_init_chart(&k, text);
     WPShift *sh = order(&k);
-    wp_shift_hear_open(sh);
+    wp_shift_merge_gate_passed(sh);
     bool done = false;
     for (int i = 0; i < STEPS; i++) {
         done = done || look_on(&k, sh, DURATION_MS / STEPS) == WP_SHIFT_DONE;
@@ -266,13 +266,13 @@
     feed_times(sh, "v2", "n1", 0.02, 0, 1, 1); /* slow, but too few to tell */
     assert_int_equal(look_on(&k, sh, DURATION_MS), WP_SHIFT_RUNNING);
     assert_string_equal(sh->stage, "canary");
-    assert_false(wp_shift_takes(k.d.shifts, sh, k.now, 0.5, NULL));
+    assert_false(wp_shift_routes_to_new(k.d.shifts, sh, k.now, 0.5, NULL));
     feed_times(sh, "v2", "n1", 0.02, 3, 0, 0);
     assert_true(wp_shift_advance(k.d.shifts, sh, k.now, &why));
     assert_string_equal(sh->stage, "full");
     assert_non_null(strstr(why, "3 fast"));
     feed_times(sh, "v2", "n1", 0.02, 0, 5, 5);
-    assert_true(wp_shift_takes(k.d.shifts, sh, k.now, 0.5, NULL));
+    assert_true(wp_shift_routes_to_new(k.d.shifts, sh, k.now, 0.5, NULL));
     /* The last stage still lasts its time. */
     assert_int_equal(look_on(&k, sh, DURATION_MS / 20), WP_SHIFT_RUNNING);
     assert_int_equal(look_on(&k, sh, DURATION_MS / 20), WP_SHIFT_DONE);
@@ -283,9 +283,9 @@
     feed_times(sh, "v1", "l1", 0.2, 25, 50, 25);
     feed_times(sh, "v2", "n1", 0.02, 0, 1, 1);
     fake_pass(&k, DURATION_MS * 85 / 100);
-    assert_false(wp_shift_takes(k.d.shifts, sh, k.now, 0.5, NULL));
-    wp_shift_hear_open(sh);
-    assert_true(wp_shift_takes(k.d.shifts, sh, k.now, 0.5, NULL));
+    assert_false(wp_shift_routes_to_new(k.d.shifts, sh, k.now, 0.5, NULL));
+    wp_shift_merge_gate_passed(sh);
+    assert_true(wp_shift_routes_to_new(k.d.shifts, sh, k.now, 0.5, NULL));
     fake_end(&k);
 }
 
@@ -309,7 +309,7 @@
     assert_int_equal(wp_direct_tell(&k.d, k.now, WP_TELL_BOUND, told, 8), 0);
     assert_int_equal(wp_direct_tell(&k.d, k.now, WP_TELL_MOVED, told, 8), 1);
     assert_int_equal(told[0], far);
-    wp_shift_hear_open(sh);
+    wp_shift_merge_gate_passed(sh);
     fake_pass(&k, DURATION_MS * 15 / 100);
     wp_direct_session_on(&k.d, k.now, far, "v2");
     assert_int_equal(wp_direct_tell(&k.d, k.now, WP_TELL_MOVED, told, 8), 0);
@@ -323,9 +323,9 @@
     fake_init(&k);
     order(&k);
     WPShiftOrder old = { "llm", "v0", DURATION_MS, 9 };
-    assert_null(wp_shifts_order(k.d.shifts, k.now, &old));
+    assert_null(wp_shifts_add_order(k.d.shifts, k.now, &old));
     WPShiftOrder next = { "llm", "v3", DURATION_MS, 11 };
-    assert_non_null(wp_shifts_order(k.d.shifts, k.now, &next));
+    assert_non_null(wp_shifts_add_order(k.d.shifts, k.now, &next));
     /* A record of the order before does not end this one. */
     outcome(&k, "v2", 12, WP_SHIFT_DONE);
     assert_int_equal(wp_shifts_find(k.d.shifts, "llm")->state,
@@ -342,9 +342,9 @@
     (void)state;
     fake_init(&k);
     order(&k);
-    outcome(&k, "v2", 12, WP_SHIFT_UNDONE);
-    WPShift *sh = wp_shifts_order(k.d.shifts, k.now, &next);
-    wp_shift_hear_elapsed(sh, k.now, 0);
+    outcome(&k, "v2", 12, WP_SHIFT_ROLLED_BACK);
+    WPShift *sh = wp_shifts_add_order(k.d.shifts, k.now, &next);
+    wp_shift_merge_elapsed(sh, k.now, 0);
     fake_put(&k, "m1", "llm", "v3", false);
     for (int i = 0; i < 200; i++) {
         g_autofree char *session = g_strdup_printf("s%d", i);
@@ -353,7 +353,7 @@
     }
     /* An order for it again: it may have been mended. */
     const WPShiftOrder again = { "llm", "v2", DURATION_MS, 30 };
-    sh = wp_shifts_order(k.d.shifts, k.now, &again);
+    sh = wp_shifts_add_order(k.d.shifts, k.now, &again);
     assert_true(wp_shift_allows(sh, "v2"));
     fake_end(&k);
 }
@@ -373,16 +373,16 @@
         g_autofree char *session = g_strdup_printf("s%d", i);
         assert_string_equal(serve(&k, session), "v2");
     }
-    WPShift *sh = wp_shifts_order(k.d.shifts, k.now, &next);
+    WPShift *sh = wp_shifts_add_order(k.d.shifts, k.now, &next);
     for (int i = 0; i < 200; i++) {
         g_autofree char *session = g_strdup_printf("s%d", i);
         assert_string_equal(serve(&k, session), "v2");
     }
     /* Nor does it come back with an order after one that was undone. */
-    outcome(&k, "v3", 22, WP_SHIFT_UNDONE);
-    assert_int_equal(sh->state, WP_SHIFT_UNDONE);
+    outcome(&k, "v3", 22, WP_SHIFT_ROLLED_BACK);
+    assert_int_equal(sh->state, WP_SHIFT_ROLLED_BACK);
     const WPShiftOrder third = { "llm", "v4", DURATION_MS, 30 };
-    sh = wp_shifts_order(k.d.shifts, k.now, &third);
+    sh = wp_shifts_add_order(k.d.shifts, k.now, &third);
     assert_false(wp_shift_allows(sh, "v1"));
     assert_true(wp_shift_allows(sh, "v2"));
     fake_end(&k);
@@ -404,7 +404,8 @@
     outcome(&k, "v2", 12, WP_SHIFT_DONE);
     /* Without a further order it moves on with the move that was done. */
     assert_string_equal(serve(&k, "t"), "v2");
-    wp_shift_hear_elapsed(wp_shifts_order(k.d.shifts, k.now, &next), k.now, 0);
+    wp_shift_merge_elapsed(wp_shifts_add_order(k.d.shifts, k.now, &next), k.now,
+                           0);
     WPFlow *f = fake_ask(&k, "/chat/x", "s", &m);
     assert_int_equal(m.kind, WP_MOVE_FAIL);
     assert_int_equal(m.code, WP_SESSION_BOUND);
@@ -441,7 +442,7 @@
     assert_int_equal(
         wp_direct_tell(&here.d, here.now, WP_TELL_LEFT, told + 1, 7), 0);
     wp_direct_hear(&there.d, there.now, WP_TELL_LEFT, told[0]);
-    wp_shifts_order(there.d.shifts, there.now, &next);
+    wp_shifts_add_order(there.d.shifts, there.now, &next);
     WPFlow *f = fake_ask(&there, "/chat/x", "s", &m);
     assert_int_equal(m.code, WP_SESSION_BOUND);
     wp_flow_free(f);
@@ -457,8 +458,8 @@
     Fake k;
     (void)state;
     fake_init(&k);
-    wp_shifts_listed(k.d.shifts, "llm", "v1", true);
-    wp_shifts_listed(k.d.shifts, "llm", "v2", false);
+    wp_shifts_note_registered(k.d.shifts, "llm", "v1", true);
+    wp_shifts_note_registered(k.d.shifts, "llm", "v2", false);
     fake_put(&k, "n1", "llm", "v2", false);
     fake_put(&k, "n2", "llm", "v2", false);
     for (int i = 0; i < 100; i++)
@@ -477,8 +478,8 @@
     unsigned second = 0;
     (void)state;
     fake_init(&k);
-    wp_shifts_listed(k.d.shifts, "llm", "v1", true);
-    wp_shifts_listed(k.d.shifts, "llm", "v2", true);
+    wp_shifts_note_registered(k.d.shifts, "llm", "v1", true);
+    wp_shifts_note_registered(k.d.shifts, "llm", "v2", true);
     fake_put(&k, "n1", "llm", "v2", false);
     fake_put(&k, "n2", "llm", "v2", false);
     for (int i = 0; i < 100; i++)
--- a/tests/test_suspects.c
+++ b/tests/test_suspects.c
@@ -20,8 +20,8 @@
 static unsigned ended(WPSuspects *s, int64_t ms, uint64_t request,
                       uint64_t life, uint64_t version, int64_t sent_us)
 {
-    const WPSuspectRun r = { request, life, version, sent_us, 0 };
-    return wp_suspects_ended(s, at_ms(ms), &r);
+    const WPSuspectAttempt r = { request, life, version, sent_us, 0 };
+    return wp_suspects_record_crash(s, at_ms(ms), &r);
 }
 
 static void three_lives_keep_a_request_out_but_for_one_more_try(void **state)
@@ -30,25 +30,28 @@
     (void)state;
     for (uint64_t life = 1; life <= 3; life++) {
         assert_int_equal(wp_suspects_admit(s, at_ms(0), BAD, 1),
-                         WP_SUSPECT_FREE);
+                         WP_SUSPECT_ADMITTED);
         assert_int_equal(ended(s, 10, BAD, life, 1, us_at(0)), life);
     }
-    assert_false(wp_suspects_may_go_on(s, at_ms(10), BAD));
-    assert_int_equal(wp_suspects_admit(s, at_ms(20), BAD, 1), WP_SUSPECT_FREE);
-    wp_suspects_sent(s, at_ms(20), BAD);
+    assert_false(wp_suspects_may_retry(s, at_ms(10), BAD));
+    assert_int_equal(wp_suspects_admit(s, at_ms(20), BAD, 1),
+                     WP_SUSPECT_ADMITTED);
+    wp_suspects_attempt_started(s, at_ms(20), BAD);
     /* While it runs no other copy does. */
-    assert_int_equal(wp_suspects_admit(s, at_ms(30), BAD, 1), WP_SUSPECT_BUSY);
-    wp_suspects_left(s, BAD);
+    assert_int_equal(wp_suspects_admit(s, at_ms(30), BAD, 1),
+                     WP_SUSPECT_IN_FLIGHT);
+    wp_suspects_attempt_ended(s, BAD);
     ended(s, 40, BAD, 4, 1, us_at(20));
-    assert_int_equal(wp_suspects_admit(s, at_ms(50), BAD, 1), WP_SUSPECT_OUT);
+    assert_int_equal(wp_suspects_admit(s, at_ms(50), BAD, 1),
+                     WP_SUSPECT_QUARANTINED);
     /* Hours later as well; another version is a reason to try. */
-    wp_suspects_tick(s, at_ms(7200000));
+    wp_suspects_expire(s, at_ms(7200000));
     assert_int_equal(wp_suspects_admit(s, at_ms(7200000), BAD, 1),
-                     WP_SUSPECT_OUT);
+                     WP_SUSPECT_QUARANTINED);
     assert_int_equal(wp_suspects_admit(s, at_ms(7200000), BAD, 2),
-                     WP_SUSPECT_FREE);
+                     WP_SUSPECT_ADMITTED);
     assert_int_equal(wp_suspects_admit(s, at_ms(7200000), GOOD, 1),
-                     WP_SUSPECT_FREE);
+                     WP_SUSPECT_ADMITTED);
     wp_suspects_free(s);
 }
 
@@ -60,15 +63,17 @@
         ended(s, 0, BAD, life, 1, us_at(0));
     for (uint64_t version = 2; version <= 4; version++) {
         assert_int_equal(wp_suspects_admit(s, at_ms(0), BAD, version),
-                         WP_SUSPECT_FREE);
-        wp_suspects_sent(s, at_ms(0), BAD);
-        wp_suspects_left(s, BAD);
+                         WP_SUSPECT_ADMITTED);
+        wp_suspects_attempt_started(s, at_ms(0), BAD);
+        wp_suspects_attempt_ended(s, BAD);
         ended(s, 0, BAD, 10 + version, version, us_at(0));
     }
-    assert_int_equal(wp_suspects_admit(s, at_ms(0), BAD, 5), WP_SUSPECT_OUT);
+    assert_int_equal(wp_suspects_admit(s, at_ms(0), BAD, 5),
+                     WP_SUSPECT_QUARANTINED);
     /* An operator's order is another reason. */
-    assert_true(wp_suspects_let_in(s, at_ms(0), BAD));
-    assert_int_equal(wp_suspects_admit(s, at_ms(0), BAD, 1), WP_SUSPECT_FREE);
+    assert_true(wp_suspects_release(s, at_ms(0), BAD));
+    assert_int_equal(wp_suspects_admit(s, at_ms(0), BAD, 1),
+                     WP_SUSPECT_ADMITTED);
     wp_suspects_free(s);
 }
 
@@ -78,16 +83,16 @@
     (void)state;
     for (uint64_t life = 1; life <= 3; life++)
         ended(s, 0, GOOD, life, 1, us_at(0));
-    assert_true(wp_suspects_whole(s, at_ms(100), GOOD));
-    assert_int_equal(wp_suspects_count(s, GOOD), 0);
+    assert_true(wp_suspects_completed(s, at_ms(100), GOOD));
+    assert_int_equal(wp_suspects_crash_count(s, GOOD), 0);
     /* Late news of what has been cleared changes nothing. */
     ended(s, 110, GOOD, 2, 1, us_at(0));
-    assert_int_equal(wp_suspects_count(s, GOOD), 0);
+    assert_int_equal(wp_suspects_crash_count(s, GOOD), 0);
     /* One that lately ended whole runs on, in many copies. */
     ended(s, 120, GOOD, 4, 1, us_at(0));
-    wp_suspects_sent(s, at_ms(120), GOOD);
+    wp_suspects_attempt_started(s, at_ms(120), GOOD);
     assert_int_equal(wp_suspects_admit(s, at_ms(130), GOOD, 1),
-                     WP_SUSPECT_FREE);
+                     WP_SUSPECT_ADMITTED);
     wp_suspects_free(s);
 }
 
@@ -97,14 +102,14 @@
     (void)state;
     ended(s, 10, GOOD, 1, 1, us_at(0));
     /* Answers that were on their way tell nothing. */
-    wp_suspects_alive(s, at_ms(12), 1, us_at(5));
-    assert_int_equal(wp_suspects_count(s, GOOD), 1);
-    wp_suspects_alive(s, at_ms(30), 1, us_at(20));
-    assert_int_equal(wp_suspects_count(s, GOOD), 0);
+    wp_suspects_endpoint_alive(s, at_ms(12), 1, us_at(5));
+    assert_int_equal(wp_suspects_crash_count(s, GOOD), 1);
+    wp_suspects_endpoint_alive(s, at_ms(30), 1, us_at(20));
+    assert_int_equal(wp_suspects_crash_count(s, GOOD), 0);
     /* Nor does what answers under its id when it may have started again. */
     ended(s, 40, BAD, 2, 1, us_at(35));
-    wp_suspects_alive(s, at_ms(2000), 2, us_at(1900));
-    assert_int_equal(wp_suspects_count(s, BAD), 1);
+    wp_suspects_endpoint_alive(s, at_ms(2000), 2, us_at(1900));
+    assert_int_equal(wp_suspects_crash_count(s, BAD), 1);
     wp_suspects_free(s);
 }
 
@@ -120,14 +125,14 @@
 /* All that `from` has to tell, as it goes over the wire. */
 static bool pass(WPSuspects *from, WPSuspects *to, WPTime now)
 {
-    static WPSuspect list[WP_SUSPECTS_TOLD];
-    size_t n = wp_suspects_tell(from, list, WP_SUSPECTS_TOLD);
+    static WPSuspect list[WP_SUSPECTS_PER_MESSAGE];
+    size_t n = wp_suspects_take_unsent(from, list, WP_SUSPECTS_PER_MESSAGE);
     bool is_new = false;
     for (size_t i = 0; i < n; i++) {
-        WPSuspectRoom room;
+        WPSuspectBuffers room;
         Wp__Suspect m;
-        wp_suspect_fill(&list[i], now, &room, &m);
-        is_new |= wp_suspects_hear(to, now, &m);
+        wp_suspect_encode(&list[i], now, &room, &m);
+        is_new |= wp_suspects_merge(to, now, &m);
     }
     return is_new;
 }
@@ -137,21 +142,22 @@
     WPSuspects *a = wp_suspects_new(1), *b = wp_suspects_new(2);
     (void)state;
     ended(a, 0, BAD, 1, 1, us_at(0));
-    wp_suspects_sent(a, at_ms(0), BAD);
+    wp_suspects_attempt_started(a, at_ms(0), BAD);
     assert_true(pass(a, b, at_ms(1)));
-    wp_suspects_left(a, BAD);
-    assert_int_equal(wp_suspects_count(b, BAD), 1);
-    assert_int_equal(wp_suspects_admit(b, at_ms(2), BAD, 1), WP_SUSPECT_BUSY);
-    assert_false(wp_suspects_may_go_on(b, at_ms(2), BAD));
+    wp_suspects_attempt_ended(a, BAD);
+    assert_int_equal(wp_suspects_crash_count(b, BAD), 1);
+    assert_int_equal(wp_suspects_admit(b, at_ms(2), BAD, 1),
+                     WP_SUSPECT_IN_FLIGHT);
+    assert_false(wp_suspects_may_retry(b, at_ms(2), BAD));
     assert_false(pass(b, a, at_ms(3)));
-    assert_false(wp_suspects_any_untold(a));
-    assert_false(wp_suspects_any_untold(b));
+    assert_false(wp_suspects_any_unsent(a));
+    assert_false(wp_suspects_any_unsent(b));
     /* A box that has gone does not hold a request up for ever. */
     assert_int_equal(wp_suspects_admit(b, at_ms(2000), BAD, 1),
-                     WP_SUSPECT_FREE);
-    assert_true(wp_suspects_whole(b, at_ms(2100), BAD));
+                     WP_SUSPECT_ADMITTED);
+    assert_true(wp_suspects_completed(b, at_ms(2100), BAD));
     assert_true(pass(b, a, at_ms(2101)));
-    assert_int_equal(wp_suspects_count(a, BAD), 0);
+    assert_int_equal(wp_suspects_crash_count(a, BAD), 0);
     wp_suspects_free(a);
     wp_suspects_free(b);
 }
@@ -162,11 +168,12 @@
     WPSuspects *s = wp_suspects_new(1);
     (void)state;
     for (uint64_t life = 1; life <= 5; life++) {
-        const WPSuspectRun r = { GOOD, life, 1, us_at(0), us_at(100) };
-        assert_int_equal(wp_suspects_ended(s, at_ms(1500), &r), life / 2);
+        const WPSuspectAttempt r = { GOOD, life, 1, us_at(0), us_at(100) };
+        assert_int_equal(wp_suspects_record_crash(s, at_ms(1500), &r),
+                         life / 2);
     }
     assert_int_equal(wp_suspects_admit(s, at_ms(1600), GOOD, 1),
-                     WP_SUSPECT_FREE);
+                     WP_SUSPECT_ADMITTED);
     wp_suspects_free(s);
 }
 
@@ -179,11 +186,12 @@
         ended(s, 0, GOOD, life, 1, us_at(0));
     for (int i = 0; i < 3; i++) {
         assert_int_equal(wp_suspects_admit(s, at_ms(10), GOOD, 1),
-                         WP_SUSPECT_FREE);
-        wp_suspects_sent(s, at_ms(10), GOOD);
-        wp_suspects_left(s, GOOD);
+                         WP_SUSPECT_ADMITTED);
+        wp_suspects_attempt_started(s, at_ms(10), GOOD);
+        wp_suspects_attempt_ended(s, GOOD);
     }
-    assert_int_equal(wp_suspects_admit(s, at_ms(10), GOOD, 1), WP_SUSPECT_OUT);
+    assert_int_equal(wp_suspects_admit(s, at_ms(10), GOOD, 1),
+                     WP_SUSPECT_QUARANTINED);
     wp_suspects_free(s);
 }
 
@@ -195,7 +203,7 @@
         ended(s, 0, BAD, life, 1, us_at(0));
     for (uint64_t i = 0; i < 5000; i++)
         ended(s, 1, 1000 + i, 100 + i, 1, us_at(0));
-    assert_int_equal(wp_suspects_count(s, BAD), 3);
+    assert_int_equal(wp_suspects_crash_count(s, BAD), 3);
     wp_suspects_free(s);
 }
 
@@ -397,9 +405,9 @@
 /* Along a ring and at distances that double, 1 to 30 ms away. */
 static void tell(Play *p, unsigned from)
 {
-    static WPSuspect list[WP_SUSPECTS_TOLD];
-    size_t n =
-        wp_suspects_tell(p->boxes[from].d.suspects, list, WP_SUSPECTS_TOLD);
+    static WPSuspect list[WP_SUSPECTS_PER_MESSAGE];
+    size_t n = wp_suspects_take_unsent(p->boxes[from].d.suspects, list,
+                                       WP_SUSPECTS_PER_MESSAGE);
     for (unsigned hop = 0; hop < LINKS; hop++) {
         unsigned far = 1u << hop;
         if (far >= p->n_boxes)
@@ -418,15 +426,15 @@
 {
     for (guint i = 0; i < p->news->len;) {
         News w = g_array_index(p->news, News, i);
-        WPSuspectRoom room;
+        WPSuspectBuffers room;
         Wp__Suspect m;
         if (w.at_ms > p->ms) {
             i++;
             continue;
         }
         g_array_remove_index_fast(p->news, i);
-        wp_suspect_fill(&w.told, at_ms(p->ms), &room, &m);
-        wp_suspects_hear(p->boxes[w.to].d.suspects, at_ms(p->ms), &m);
+        wp_suspect_encode(&w.told, at_ms(p->ms), &room, &m);
+        wp_suspects_merge(p->boxes[w.to].d.suspects, at_ms(p->ms), &m);
     }
 }
 
@@ -452,16 +460,16 @@
         if (p->ms < REST_MS / 2 && p->ms % 7 == 0)
             ended(s, p->ms, request, life, 1, us_at(p->ms - 1));
         if (p->ms < REST_MS / 2 && p->ms % 11 == 0)
-            wp_suspects_alive(s, at_ms(p->ms), life, us_at(p->ms));
+            wp_suspects_endpoint_alive(s, at_ms(p->ms), life, us_at(p->ms));
         if (p->ms < REST_MS / 2 && p->ms % 101 == 0)
-            wp_suspects_whole(s, at_ms(p->ms), request);
+            wp_suspects_completed(s, at_ms(p->ms), request);
         if (p->ms < REST_MS / 2 && p->ms % 13 == 0)
-            wp_suspects_sent(s, at_ms(p->ms), request);
+            wp_suspects_attempt_started(s, at_ms(p->ms), request);
         if (p->ms < REST_MS / 2 && p->ms % 17 == 0)
-            wp_suspects_left(s, request);
+            wp_suspects_attempt_ended(s, request);
         deliver(p);
         for (unsigned i = 0; i < p->n_boxes; i++)
-            if (wp_suspects_any_untold(p->boxes[i].d.suspects)) {
+            if (wp_suspects_any_unsent(p->boxes[i].d.suspects)) {
                 tell(p, i);
                 told += p->ms > REST_MS * 3 / 4;
             }
@@ -514,7 +522,7 @@
         care_for_places(p);
         deliver(p);
         for (unsigned i = 0; i < n_boxes; i++)
-            if (wp_suspects_any_untold(p->boxes[i].d.suspects))
+            if (wp_suspects_any_unsent(p->boxes[i].d.suspects))
                 tell(p, i);
     }
     printf("%u boxes: %u endpoints ended, %u of %u others served\n", n_boxes,
--- a/tests/test_verdict.c
+++ b/tests/test_verdict.c
@@ -12,10 +12,10 @@
     feed(sh, "v1", "l1", "chat", 200, 1, 0);
     feed(sh, "v2", "n1", "chat", 8, 3, 0);
     feed(sh, "v2", "n2", "chat", 8, 3, 0);
-    assert_int_equal(wp_shift_due(k.d.shifts, sh, k.now, &why),
-                     WP_SHIFT_UNDONE);
+    assert_int_equal(wp_shift_due_state(k.d.shifts, sh, k.now, &why),
+                     WP_SHIFT_ROLLED_BACK);
     assert_non_null(strstr(why, "new=6/16"));
-    outcome(&k, "v2", 12, WP_SHIFT_UNDONE);
+    outcome(&k, "v2", 12, WP_SHIFT_ROLLED_BACK);
     for (int i = 0; i < 50; i++)
         assert_string_equal(serve(&k, NULL), "v1");
     fake_end(&k);
@@ -30,9 +30,9 @@
     feed(sh, "v1", "l1", "chat", 200, 0, 0);
     feed(sh, "v2", "n1", "chat", 10, 0, 8);
     feed(sh, "v2", "n2", "chat", 10, 0, 8);
-    assert_true(wp_trial_is_bad(&sh->trial, true, NULL));
+    assert_true(wp_canary_is_bad(&sh->canary, true, NULL));
     /* Once all is on the new version there is nothing to compare with. */
-    assert_false(wp_trial_is_bad(&sh->trial, false, NULL));
+    assert_false(wp_canary_is_bad(&sh->canary, false, NULL));
     fake_end(&k);
 
     fake_init(&k);
@@ -42,7 +42,7 @@
     feed(sh, "v2", "n1", "other", 300, 0, 0);
     feed(sh, "v2", "n1", "chat", 6, 4, 0);
     feed(sh, "v2", "n2", "chat", 6, 4, 0);
-    assert_true(wp_trial_is_bad(&sh->trial, true, NULL));
+    assert_true(wp_canary_is_bad(&sh->canary, true, NULL));
     fake_end(&k);
 }
 
@@ -58,7 +58,7 @@
         feed(sh, "v1", "l1", "chat", 586, clean ? 0 : 12, 0);
         feed(sh, "v2", "n1", "chat", 9, 2, 0);
         feed(sh, "v2", "n2", "chat", 9, 1, 0);
-        assert_int_equal(wp_trial_is_bad(&sh->trial, true, NULL), clean);
+        assert_int_equal(wp_canary_is_bad(&sh->canary, true, NULL), clean);
         fake_end(&k);
     }
 }
@@ -74,10 +74,10 @@
     WPShift *sh = order(&k);
     feed(sh, "v1", "l1", "chat", 200, 0, 0);
     feed(sh, "v2", "n1", "chat", 5, 0, 0);
-    assert_false(wp_trial_is_bad(&sh->trial, true, NULL));
-    wp_shift_hear_bad(sh);
-    assert_int_equal(wp_shift_due(k.d.shifts, sh, k.now, &why),
-                     WP_SHIFT_UNDONE);
+    assert_false(wp_canary_is_bad(&sh->canary, true, NULL));
+    wp_shift_merge_bad(sh);
+    assert_int_equal(wp_shift_due_state(k.d.shifts, sh, k.now, &why),
+                     WP_SHIFT_ROLLED_BACK);
     for (int i = 0; i < 20; i++)
         assert_string_equal(serve(&k, NULL), "v1");
     fake_end(&k);
@@ -94,7 +94,7 @@
     feed(sh, "v1", "l1", "chat", 200, 30, 0);
     feed(sh, "v2", "n1", "chat", 30, 5, 0);
     feed(sh, "v2", "n2", "chat", 30, 5, 0);
-    assert_false(wp_trial_is_bad(&sh->trial, true, NULL));
+    assert_false(wp_canary_is_bad(&sh->canary, true, NULL));
     fake_end(&k);
 
     fake_init(&k);
@@ -105,7 +105,7 @@
         g_autofree char *id = g_strdup_printf("n%d", i);
         feed(sh, "v2", id, "chat", 20, 0, 0);
     }
-    assert_false(wp_trial_is_bad(&sh->trial, true, NULL));
+    assert_false(wp_canary_is_bad(&sh->canary, true, NULL));
     fake_end(&k);
 }
 
@@ -144,10 +144,10 @@
         serve_paced(&k, "v1", 30);
     for (int i = 0; i < 10; i++)
         serve_paced(&k, "v2", 30);
-    assert_false(wp_trial_is_bad(&sh->trial, true, NULL));
+    assert_false(wp_canary_is_bad(&sh->canary, true, NULL));
     for (int i = 0; i < 30; i++) /* as slow as one was seen to be */
         serve_paced(&k, "v2", 105);
-    assert_true(wp_trial_is_bad(&sh->trial, true, NULL));
+    assert_true(wp_canary_is_bad(&sh->canary, true, NULL));
     fake_end(&k);
 }
 
@@ -170,7 +170,8 @@
             serve_paced(&k, "v1", n % 4 ? 30 : 31);
         for (int n = 0; n < 40; n++)
             serve_paced(&k, "v2", cases[i].gap_ms);
-        assert_int_equal(wp_trial_is_bad(&sh->trial, true, NULL), cases[i].bad);
+        assert_int_equal(wp_canary_is_bad(&sh->canary, true, NULL),
+                         cases[i].bad);
         fake_end(&k);
     }
 }
@@ -188,11 +189,11 @@
         feed(sh, "v2", id, "chat", 5, 0, 0);
     }
     for (int i = 0; i < 8; i++)
-        wp_trial_loaded(&sh->trial, "n1", i % 2);
-    assert_false(wp_trial_is_bad(&sh->trial, true, NULL));
+        wp_canary_record_loaded(&sh->canary, "n1", i % 2);
+    assert_false(wp_canary_is_bad(&sh->canary, true, NULL));
     for (int i = 0; i < 4; i++)
-        wp_trial_loaded(&sh->trial, "n2", i % 2);
-    assert_true(wp_trial_is_bad(&sh->trial, true, NULL));
+        wp_canary_record_loaded(&sh->canary, "n2", i % 2);
+    assert_true(wp_canary_is_bad(&sh->canary, true, NULL));
     fake_end(&k);
 }
 
@@ -213,7 +214,7 @@
         wp_fleet_set_load(wp_fleet_find(k.d.fleet, "n2"), k.now, 4, 0, 8);
         serve_paced(&k, "v2", 240);
     }
-    assert_false(wp_trial_is_bad(&sh->trial, true, NULL));
+    assert_false(wp_canary_is_bad(&sh->canary, true, NULL));
     fake_end(&k);
 }
 
@@ -227,7 +228,7 @@
     feed(sh, "v1", "l1", "chat", 700, 0, 0);
     feed(sh, "v2", "n1", "chat", 130, 4, 0);
     feed(sh, "v2", "n2", "chat", 130, 3, 0);
-    assert_true(wp_trial_is_bad(&sh->trial, true, NULL));
+    assert_true(wp_canary_is_bad(&sh->canary, true, NULL));
     fake_end(&k);
 }
 
@@ -257,7 +258,8 @@
                    cases[i].usual, cases[i].slow);
         feed_times(sh, "v2", "n2", cases[i].taken, cases[i].fast,
                    cases[i].usual, cases[i].slow);
-        assert_int_equal(wp_trial_is_bad(&sh->trial, true, NULL), cases[i].bad);
+        assert_int_equal(wp_canary_is_bad(&sh->canary, true, NULL),
+                         cases[i].bad);
         fake_end(&k);
     }
 }
@@ -271,9 +273,9 @@
     WPShift *sh = order(&k);
     feed_times(sh, "v1", "l1", 0.2, 25, 50, 25);
     feed_times(sh, "v2", "n1", 0.02, 0, 10, 5);
-    assert_false(wp_trial_is_bad(&sh->trial, true, NULL));
+    assert_false(wp_canary_is_bad(&sh->canary, true, NULL));
     feed_times(sh, "v2", "n2", 0.02, 0, 1, 0);
-    assert_true(wp_trial_is_bad(&sh->trial, true, NULL));
+    assert_true(wp_canary_is_bad(&sh->canary, true, NULL));
     fake_end(&k);
 }
 
@@ -292,8 +294,8 @@
     wp_flow_answer(f, k.now, &a, &m);
     wp_flow_done(f, k.now, 10);
     wp_flow_free(f);
-    assert_int_equal(wp_trial_own(&sh->trial).loaded, 0);
-    assert_int_equal(wp_trial_own(&sh->trial).answered, 0);
+    assert_int_equal(wp_canary_own_sums(&sh->canary).loaded, 0);
+    assert_int_equal(wp_canary_own_sums(&sh->canary).answered, 0);
     fake_end(&k);
 }
 
@@ -307,16 +309,16 @@
     feed(sh, "v1", "l1", "chat", 200, 0, 0);
     feed(sh, "v2", "n1", "chat", 4, 1, 0);
     feed(sh, "v2", "n2", "chat", 4, 1, 0);
-    const WPShiftSums first = { .answered = 8, .failed = 3 }, none = { 0 },
-                      one = { .answered = 1 };
-    wp_trial_hear(&sh->trial, "e2", 1, &first);
-    wp_trial_hear(&sh->trial, "e2", 2, &none);
-    wp_trial_hear(&sh->trial, "e2", 2, &one);
+    const WPCanarySums first = { .answered = 8, .failed = 3 }, none = { 0 },
+                       one = { .answered = 1 };
+    wp_canary_merge_report(&sh->canary, "e2", 1, &first);
+    wp_canary_merge_report(&sh->canary, "e2", 2, &none);
+    wp_canary_merge_report(&sh->canary, "e2", 2, &one);
     /* Nor do they count twice, told again or late. */
-    wp_trial_hear(&sh->trial, "e2", 1, &first);
-    wp_trial_hear(&sh->trial, "e2", 1, &one);
-    assert_int_equal(wp_trial_pooled(&sh->trial).answered, 8 + 8 + 1);
-    assert_true(wp_trial_is_bad(&sh->trial, true, NULL));
+    wp_canary_merge_report(&sh->canary, "e2", 1, &first);
+    wp_canary_merge_report(&sh->canary, "e2", 1, &one);
+    assert_int_equal(wp_canary_pooled_sums(&sh->canary).answered, 8 + 8 + 1);
+    assert_true(wp_canary_is_bad(&sh->canary, true, NULL));
     fake_end(&k);
 }
 
@@ -328,14 +330,14 @@
     fake_init(&k);
     WPShift *sh = order(&k);
     feed_times(sh, "v1", "l1", 0.2, 25, 50, 25);
-    assert_false(wp_trial_is_doubtful(&sh->trial));
+    assert_false(wp_canary_may_be_slow(&sh->canary));
     for (int i = 0; i < 50; i++)
-        wp_shift_answered(sh, &(WPShiftAnswer){ .version = "v2",
-                                                .replica = "n1",
-                                                .route = "chat" });
-    assert_true(wp_trial_is_doubtful(&sh->trial));
+        wp_shift_record_answer(sh, &(WPCanaryAnswer){ .version = "v2",
+                                                      .replica = "n1",
+                                                      .route = "chat" });
+    assert_true(wp_canary_may_be_slow(&sh->canary));
     feed_times(sh, "v2", "n1", 0.02, 1, 1, 0);
-    assert_false(wp_trial_is_doubtful(&sh->trial));
+    assert_false(wp_canary_may_be_slow(&sh->canary));
     fake_end(&k);
 }
 
@@ -350,7 +352,7 @@
     feed(sh, "v1", "l1", "chat", 655, 0, 0);
     feed(sh, "v2", "n1", "chat", 52, 0, 26);
     feed(sh, "v2", "n2", "chat", 51, 0, 26);
-    assert_false(wp_trial_is_bad(&sh->trial, true, NULL));
+    assert_false(wp_canary_is_bad(&sh->canary, true, NULL));
     fake_end(&k);
 }
 
@@ -364,12 +366,12 @@
     feed(sh, "v1", "l1", "chat", 100, 0, 0);
     feed(sh, "v2", "n1", "chat", 4, 1, 0);
     feed(sh, "v2", "n2", "chat", 4, 1, 0);
-    assert_false(wp_trial_is_bad(&sh->trial, true, NULL));
-    const WPShiftSums e2 = { .answered = 8, .failed = 3 },
-                      e3 = { .answered = 8, .failed = 2 };
-    wp_trial_hear(&sh->trial, "e2", 1, &e2);
-    wp_trial_hear(&sh->trial, "e3", 1, &e3);
-    assert_true(wp_trial_is_bad(&sh->trial, true, NULL));
+    assert_false(wp_canary_is_bad(&sh->canary, true, NULL));
+    const WPCanarySums e2 = { .answered = 8, .failed = 3 },
+                       e3 = { .answered = 8, .failed = 2 };
+    wp_canary_merge_report(&sh->canary, "e2", 1, &e2);
+    wp_canary_merge_report(&sh->canary, "e3", 1, &e3);
+    assert_true(wp_canary_is_bad(&sh->canary, true, NULL));
     fake_end(&k);
 }
 
@@ -393,9 +395,9 @@
 static WPShift *order_plain(Fake *k)
 {
     WPShiftOrder o = { "app", "v2", DURATION_MS, 10 };
-    WPShift *sh = wp_shifts_order(k->d.shifts, k->now, &o);
+    WPShift *sh = wp_shifts_add_order(k->d.shifts, k->now, &o);
     sh->duration_ms = LONG_MS;
-    wp_shift_hear_elapsed(sh, k->now, 0);
+    wp_shift_merge_elapsed(sh, k->now, 0);
     fake_put(k, "b1", "app", "v2", false);
     fake_put(k, "b2", "app", "v2", false);
     return sh;
@@ -419,7 +421,7 @@
             wp_fleet_set_load(wp_fleet_find(k.d.fleet, "b2"), k.now, 2, 0, 8);
             serve_plain(&k, "v2", times[i % 5] * (slow && i % 2 ? 8 : 1));
         }
-        assert_int_equal(wp_trial_is_bad(&sh->trial, true, NULL), slow);
+        assert_int_equal(wp_canary_is_bad(&sh->canary, true, NULL), slow);
         fake_end(&k);
     }
 }
@@ -444,7 +446,7 @@
     }
     k.now.mono_us += 400 * WP_US_PER_MS;
     assert_true(wp_flow_impatient(f, k.now, &m));
-    assert_int_equal(wp_trial_own(&sh->trial).far, 1);
+    assert_int_equal(wp_canary_own_sums(&sh->canary).ratio_slow, 1);
     wp_flow_left(f, k.now);
     wp_flow_free(f);
     fake_end(&k);
@@ -457,19 +459,20 @@
     (void)state;
     fake_init(&k);
     WPShift *sh = order_plain(&k);
-    WPShiftAnswer a = {
-        .version = "v2", .replica = "b1", .route = "safe", .time = WP_TIME_FAR
-    };
-    wp_shift_answered(sh, &a);
+    WPCanaryAnswer a = { .version = "v2",
+                         .replica = "b1",
+                         .route = "safe",
+                         .time = WP_TIME_RATIO_SLOW };
+    wp_shift_record_answer(sh, &a);
     a.replica = "b2";
-    wp_shift_answered(sh, &a);
-    a.time = WP_TIME_NEAR;
-    wp_shift_answered(sh, &a);
-    assert_false(wp_trial_is_bad(&sh->trial, true, NULL));
-    assert_true(wp_trial_is_doubtful(&sh->trial));
+    wp_shift_record_answer(sh, &a);
+    a.time = WP_TIME_RATIO_NORMAL;
+    wp_shift_record_answer(sh, &a);
+    assert_false(wp_canary_is_bad(&sh->canary, true, NULL));
+    assert_true(wp_canary_may_be_slow(&sh->canary));
     for (int i = 0; i < 10; i++)
-        wp_shift_answered(sh, &a);
-    assert_false(wp_trial_is_doubtful(&sh->trial));
+        wp_shift_record_answer(sh, &a);
+    assert_false(wp_canary_may_be_slow(&sh->canary));
     fake_end(&k);
 }
 
