--- a/bench/fleet.c
+++ b/bench/fleet.c
@@ -230,7 +230,7 @@
         if (!f->slots[i].watching)
             continue;
         f->slots[i].watching = false;
-        wp_node_watch_ended(f->slots[i].node, fleet_now(f));
+        wp_node_on_watch_end(f->slots[i].node, fleet_now(f));
     }
 }
 
@@ -244,7 +244,7 @@
     f->slots[node].cut = cut;
     if (cut && f->slots[node].watching) {
         f->slots[node].watching = false;
-        wp_node_watch_ended(f->slots[node].node, fleet_now(f));
+        wp_node_on_watch_end(f->slots[node].node, fleet_now(f));
     }
 }
 
@@ -267,15 +267,15 @@
 
 static void answer_head(Fleet *f, const Parcel *p, bool ok)
 {
-    wp_node_head(f->slots[p->to].node, fleet_now(f), p->asked_us, ok,
-                 ok ? wp_config_revision(f->store) : 0, f->head->data,
-                 f->head->len);
+    wp_node_on_head(f->slots[p->to].node, fleet_now(f), p->asked_us, ok,
+                    ok ? wp_config_revision(f->store) : 0, f->head->data,
+                    f->head->len);
 }
 
 static void answer_all(Fleet *f, const Parcel *p, bool ok)
 {
     Wp__Snapshot *s = wp_config_snapshot(f->store);
-    wp_node_all(f->slots[p->to].node, fleet_now(f), p->asked_us, ok, s);
+    wp_node_on_snapshot(f->slots[p->to].node, fleet_now(f), p->asked_us, ok, s);
     wp_pb_free(s);
 }
 
@@ -292,7 +292,7 @@
         *strchr(addr, ':') = 0;
         boxes[count++] = (WPBox){ f->slots[i].id, addr, 1, false };
     }
-    wp_node_boxes(f->slots[p->to].node, fleet_now(f), boxes, count);
+    wp_node_on_box_list(f->slots[p->to].node, fleet_now(f), boxes, count);
 }
 
 /* --- passing on --- */
@@ -319,7 +319,7 @@
 static void act(Fleet *f, unsigned i)
 {
     WPAction *a;
-    while ((a = wp_node_next(f->slots[i].node))) {
+    while ((a = wp_node_next_action(f->slots[i].node))) {
         if (a->kind == WP_ACT_SEND)
             send(f, i, a);
         else if (a->kind == WP_ACT_READ_HEAD)
@@ -330,7 +330,7 @@
             f->costs.store_reads++;
             f->slots[i].watching = f->store_up;
             if (!f->store_up)
-                wp_node_watch_ended(f->slots[i].node, fleet_now(f));
+                wp_node_on_watch_end(f->slots[i].node, fleet_now(f));
         } else if (a->kind == WP_ACT_UNWATCH)
             f->slots[i].watching = false;
         else if (a->kind == WP_ACT_READ_BOXES)
@@ -355,15 +355,15 @@
     else if (p->kind == BOXES && !s->cut)
         answer_boxes(f, p);
     else if (p->kind == WATCHED && ok)
-        wp_node_watched(s->node, fleet_now(f), p->revision, f->head->data,
-                        f->head->len);
+        wp_node_on_watch_event(s->node, fleet_now(f), p->revision,
+                               f->head->data, f->head->len);
     else if (p->kind == MESSAGE) {
         Wp__Frame *m = wp__frame__unpack(NULL, p->frame->len, p->frame->data);
         s->bytes += p->frame->len + 4;
-        wp_node_frame(s->node, fleet_now(f), f->slots[p->from].addr, m);
+        wp_node_on_frame(s->node, fleet_now(f), f->slots[p->from].addr, m);
         if (m->has_revision)
-            wp_node_saw(s->node, fleet_now(f), f->slots[p->from].addr,
-                        m->revision);
+            wp_node_on_peer_revision(s->node, fleet_now(f),
+                                     f->slots[p->from].addr, m->revision);
         wp__frame__free_unpacked(m, NULL);
     }
     act(f, p->to);
@@ -407,8 +407,9 @@
     frame.body_case = WP__FRAME__BODY_MEMBERS;
     frame.members = &all;
     for (unsigned i = 0; i < f->plan.nodes; i++) {
-        wp_node_frame(f->slots[i].node, fleet_now(f), f->slots[i].addr, &frame);
-        while ((a = wp_node_next(f->slots[i].node)))
+        wp_node_on_frame(f->slots[i].node, fleet_now(f), f->slots[i].addr,
+                         &frame);
+        while ((a = wp_node_next_action(f->slots[i].node)))
             wp_action_free(a);
     }
     fleet_run(f, 8 * WP_US_PER_S);
--- a/bench/lab.c
+++ b/bench/lab.c
@@ -20,7 +20,7 @@
 void lab_drain(WPNode *n)
 {
     WPAction *a;
-    while ((a = wp_node_next(n)))
+    while ((a = wp_node_next_action(n)))
         wp_action_free(a);
 }
 
@@ -87,11 +87,11 @@
     const WPWorkspace *ws = wp_policy_workspace(p, a->item->workspace);
     const WPKind *k = wp_policy_kind(p, a->item->kind);
     double best = 0, strong = 0, strongest = -1;
-    WPSet set;
+    WPVersionSet set;
     wp_policy_allowed(p, ws, k, NULL, &set);
     for (unsigned i = 0; i < wp_policy_versions(p); i++) {
         const WPVersion *v = wp_policy_version_at(p, i);
-        if (!wp_set_has(&set, i))
+        if (!wp_version_set_has(&set, i))
             continue;
         double cost = version_cost(lab, v->spec->name, a);
         double q = truth(lab, a->item->kind, v->spec->name);
@@ -597,7 +597,7 @@
     (void)e;
     for (unsigned i = 0; i < lab->plan->entries; i++) {
         Door *d = &lab->doors[i];
-        wp_node_ratings(d->node, lab_now(lab), lab->sums);
+        wp_node_on_ratings(d->node, lab_now(lab), lab->sums);
         lab_drain(d->node);
         wp_entry_refresh(d->entry, lab_now(lab));
     }
--- a/bench/lab_setup.c
+++ b/bench/lab_setup.c
@@ -20,7 +20,7 @@
 static void set_node(Lab *lab, WPNode *n)
 {
     Wp__Snapshot *s = wp_config_snapshot(lab->config);
-    wp_node_all(n, lab_now(lab), lab->now_us, true, s);
+    wp_node_on_snapshot(n, lab_now(lab), lab->now_us, true, s);
     wp_pb_free(s);
     lab_drain(n);
 }
@@ -123,7 +123,7 @@
     f.body_case = WP__FRAME__BODY_MEMBERS;
     f.members = &all;
     for (unsigned i = 0; i < lab->plan->entries; i++) {
-        wp_node_frame(lab->doors[i].node, lab_now(lab), "x:1", &f);
+        wp_node_on_frame(lab->doors[i].node, lab_now(lab), "x:1", &f);
         lab_drain(lab->doors[i].node);
     }
 }
@@ -132,14 +132,14 @@
 {
     const LabPlan *p = lab->plan;
     Wp__Rules *rules = lab_yaml(&wp__rules__descriptor, p->rules);
-    GPtrArray *ops = wp_rules_ops(rules);
+    GPtrArray *ops = wp_rules_to_ops(rules);
     Wp__Snapshot s = WP__SNAPSHOT__INIT;
     lab->mix = lab_yaml(&wp__mix__descriptor, p->mix);
     lab->config = wp_config_new();
     lab->revision = s.revision = 1;
     s.n_ops = ops->len;
     s.ops = (Wp__Op **)ops->pdata;
-    wp_config_replace(lab->config, &s);
+    wp_config_apply_snapshot(lab->config, &s);
     wp_ops_free(ops);
     wp_pb_free(rules);
     lab->rand = g_rand_new_with_seed(p->seed);
--- a/bench/limit_play.c
+++ b/bench/limit_play.c
@@ -1,7 +1,7 @@
 /* Endpoints that name a limit before many boxes. */
 #include "limit_play.h"
 #include "play.h"
-#include "wp_box_news.h"
+#include "wp_box_updates.h"
 #include "wp_fleet.h"
 
 #include <math.h>
@@ -31,7 +31,7 @@
 
 typedef struct Box {
     WPFleet *fleet;
-    WPBoxNews news;
+    WPBoxUpdates news;
     WPPaceBox name;
     double share; /* of the callers */
     unsigned life;
@@ -120,22 +120,22 @@
         all[k] = p->boxes[k].name;
     wp_fleet_set_boxes(b->fleet, &b->name, all, p->plan->boxes, p->plan->boxes);
     for (unsigned e = 0; e < p->plan->endpoints; e++) {
-        const WPListing l = { .id = p->endpoints[e].id,
-                              .service = SERVICE,
-                              .addr = "127.0.0.1:1",
-                              .zone = p->endpoints[e].zone,
-                              .version = "v1",
-                              .slots = SLOTS };
+        const WPRegistryEntry l = { .id = p->endpoints[e].id,
+                                    .service = SERVICE,
+                                    .addr = "127.0.0.1:1",
+                                    .zone = p->endpoints[e].zone,
+                                    .version = "v1",
+                                    .slots = SLOTS };
         wp_fleet_put(b->fleet, time_of(ms), &l);
     }
-    wp_box_news_init(&b->news);
+    wp_box_updates_init(&b->news);
     wp_fleet_set_updates(b->fleet, &b->news);
 }
 
 static void end_box(Box *b)
 {
     wp_fleet_free(b->fleet);
-    wp_box_news_end(&b->news);
+    wp_box_updates_destroy(&b->news);
 }
 
 static void play_init(Play *p, const LimitPlan *plan)
@@ -326,7 +326,7 @@
         if (s && s->reported.limit)
             say_in_zone(p, box, ms, &w);
     }
-    wp_box_news_clear(&b->news);
+    wp_box_updates_reset(&b->news);
 }
 
 static void tell_all(Play *p, unsigned box, int64_t ms)
--- a/bench/wpbench.c
+++ b/bench/wpbench.c
@@ -452,13 +452,13 @@
     g_file_get_contents("bench/lakeshore.yaml", &text, &size, NULL);
     rules = (Wp__Rules *)wp_yaml_read(&wp__rules__descriptor,
                                       wp_strn(text, size), "rules", NULL);
-    GPtrArray *ops = wp_rules_ops(rules);
+    GPtrArray *ops = wp_rules_to_ops(rules);
     Wp__Snapshot snap = WP__SNAPSHOT__INIT;
     WPConfig *config = wp_config_new();
     snap.revision = 1;
     snap.n_ops = ops->len;
     snap.ops = (Wp__Op **)ops->pdata;
-    wp_config_replace(config, &snap);
+    wp_config_apply_snapshot(config, &snap);
     WPPolicy *policy = wp_policy_new(config);
     WPQuality *quality = wp_quality_new();
     WPBound *table = wp_quality_table(quality, policy);
--- a/bench/wpcapacity.c
+++ b/bench/wpcapacity.c
@@ -233,7 +233,7 @@
     s.revision = 1;
     s.n_ops = ops->len;
     s.ops = (Wp__Op **)ops->pdata;
-    wp_config_replace(c, &s);
+    wp_config_apply_snapshot(c, &s);
     for (guint i = 0; i < ops->len; i++)
         wp_pb_free(ops->pdata[i]);
     return c;
--- a/bench/wpchoice.c
+++ b/bench/wpchoice.c
@@ -21,12 +21,12 @@
     for (unsigned i = 0; i < ENGINES; i++) {
         g_autofree char *id = g_strdup_printf("i-%04u", i);
         g_autofree char *zone = g_strdup_printf("z%u", i % 4);
-        const WPListing l = { .id = id,
-                              .service = "llm",
-                              .addr = "127.0.0.1:1",
-                              .zone = zone,
-                              .version = "v1",
-                              .slots = 64 };
+        const WPRegistryEntry l = { .id = id,
+                                    .service = "llm",
+                                    .addr = "127.0.0.1:1",
+                                    .zone = zone,
+                                    .version = "v1",
+                                    .slots = 64 };
         wp_fleet_put(f, now, &l);
         WPReplica *s = wp_fleet_find(f, id);
         for (unsigned n = 0; n < PARTS / 2; n++) {
--- a/cmd/ctl_change.c
+++ b/cmd/ctl_change.c
@@ -73,7 +73,7 @@
     Wp__Snapshot *s = wp_config_snapshot(config);
     Wp__Delta d = WP__DELTA__INIT;
     s->revision = MAX(s->revision, 1);
-    wp_config_replace(copy, s);
+    wp_config_apply_snapshot(copy, s);
     wp_pb_free(s);
     d.prev = wp_config_revision(copy);
     d.revision = d.prev + 1;
@@ -138,7 +138,7 @@
     if (!r)
         return daemon_fail(error);
     WPConfig *none = wp_config_new();
-    GPtrArray *ops = wp_rules_ops(r);
+    GPtrArray *ops = wp_rules_to_ops(r);
     bool ok = checks_out(c, none, ops);
     if (ok)
         printf("%s: ok, %u objects\n", c->file, ops->len);
@@ -223,7 +223,7 @@
     WPConfig *config = ctl_config(c, &code);
     if (config) {
         keep_fates(r, config);
-        GPtrArray *ops = wp_rules_ops(r);
+        GPtrArray *ops = wp_rules_to_ops(r);
         drop_unchanged(ops, config);
         code = write_ops(c, config, ops);
         wp_ops_free(ops);
--- a/cmd/ctl_view.c
+++ b/cmd/ctl_view.c
@@ -66,7 +66,7 @@
 static void take_config(void *arg, const WPKvResult *r)
 {
     Wp__Snapshot *s = wp_kv_snapshot(r);
-    wp_config_replace(arg, s);
+    wp_config_apply_snapshot(arg, s);
     wp_pb_free(s);
 }
 
--- a/io/wp_digest.c
+++ b/io/wp_digest.c
@@ -54,11 +54,12 @@
     hear_kept(s, now, d);
     if (s->reports)
         wp_reports_hear_clock(s->reports, now, from, d);
-    int64_t word_us = wp_fresh_told_us(now, d->age_ms);
+    int64_t word_us = wp_staleness_peer_confirmed_us(now, d->age_ms);
     if (d->has_age_ms) {
-        wp_fresh_hear(&s->fresh, word_us);
-        wp_fresh_know(&s->fresh, d->complete, wp_mirror_complete(s->mirror),
-                      word_us);
+        wp_staleness_confirm(&s->fresh, word_us);
+        wp_staleness_note_synced(&s->fresh, d->complete,
+                                 wp_mirror_complete_revision(s->mirror),
+                                 word_us);
     }
     for (size_t i = 0; i < d->n_bound; i++)
         wp_direct_hear(&s->host->direct, now, WP_TELL_BOUND, d->bound[i]);
@@ -128,8 +129,8 @@
     int64_t now_us = now.mono_us;
     d->has_blind = 1;
     d->blind = s->tried && !s->up;
-    d->has_age_ms = s->fresh.word_us > 0;
-    d->age_ms = (uint32_t)((now_us - s->fresh.word_us) / WP_US_PER_MS);
+    d->has_age_ms = s->fresh.confirmed_us > 0;
+    d->age_ms = (uint32_t)((now_us - s->fresh.confirmed_us) / WP_US_PER_MS);
     if (s->reports)
         wp_reports_fill(s->reports, now, d);
     Fill f = { s, now, d };
--- a/io/wp_host.c
+++ b/io/wp_host.c
@@ -25,7 +25,7 @@
     if (h->pumping)
         return;
     h->pumping = true;
-    while ((a = wp_node_next(h->node))) {
+    while ((a = wp_node_next_action(h->node))) {
         wp_host_act(h, a);
         wp_action_free(a);
     }
@@ -36,9 +36,9 @@
 {
     WPHost *h = arg;
     WPTime now = wp_host_now(h);
-    bool done = wp_node_frame(h->node, now, l->addr ? l->addr : "", f);
+    bool done = wp_node_on_frame(h->node, now, l->addr ? l->addr : "", f);
     if (f->has_revision && l->addr)
-        wp_node_saw(h->node, now, l->addr, f->revision);
+        wp_node_on_peer_revision(h->node, now, l->addr, f->revision);
     wp_host_pump(h);
     if (done)
         return;
@@ -79,7 +79,7 @@
     f->has_revision = 1;
     f->revision = wp_config_revision(wp_node_config(h->node));
     f->has_hlc = 1;
-    f->hlc = wp_events_clock(wp_node_events(h->node), wp_host_now(h));
+    f->hlc = wp_events_next_clock(wp_node_events(h->node), wp_host_now(h));
     if (h->role && h->ops->load) {
         h->ops->load(h->role, &h->load);
         f->load = &h->load;
--- a/io/wp_host_admin.c
+++ b/io/wp_host_admin.c
@@ -36,7 +36,7 @@
 {
     WPTime now = wp_host_now(h);
     const Wp__Member *self = wp_node_self(h->node);
-    int64_t age = wp_node_age_ms(h->node, now);
+    int64_t age = wp_node_config_age_ms(h->node, now);
     json_t *o = json_pack(
         "{s:s,s:s,s:s,s:I,s:I,s:b,s:b,s:b,s:I,s:i,s:i}", "id", self->id, "role",
         self->role == WP__ROLE__ROLE_ENTRY ? "entry" : "agent", "zone",
@@ -45,7 +45,7 @@
         "ready", wp_node_ready(h->node), "store_up", wp_node_store_up(h->node),
         "leaving", h->leaving, "age_ms",
         (json_int_t)(age == INT64_MAX ? -1 : age), "boxes",
-        (int)wp_members_live(wp_node_members(h->node)), "bills_pending",
+        (int)wp_members_live_count(wp_node_members(h->node)), "bills_pending",
         (int)wp_bills_pending(h->ops->bills(h->role)));
     h->ops->status(h->role, o);
     return o;
@@ -70,7 +70,7 @@
     if (h->fault.store && h->kv)
         h->kv->ops->unwatch(h->kv);
     if (h->fault.store)
-        wp_node_watch_ended(h->node, wp_host_now(h));
+        wp_node_on_watch_end(h->node, wp_host_now(h));
     wp_http_json(r, 200, json_object());
 }
 
--- a/io/wp_host_platform.c
+++ b/io/wp_host_platform.c
@@ -21,9 +21,9 @@
     Ask *a = arg;
     WPHost *h = a->h;
     const WPKvItem *i = r->n_items ? r->items : NULL;
-    wp_node_head(h->node, wp_host_now(h), a->asked_us, r->ok,
-                 i ? i->mod_revision : 0,
-                 i ? (const uint8_t *)i->value.p : NULL, i ? i->value.n : 0);
+    wp_node_on_head(h->node, wp_host_now(h), a->asked_us, r->ok,
+                    i ? i->mod_revision : 0,
+                    i ? (const uint8_t *)i->value.p : NULL, i ? i->value.n : 0);
     g_free(a);
     wp_host_pump(h);
 }
@@ -33,7 +33,7 @@
     Ask *a = arg;
     WPHost *h = a->h;
     Wp__Snapshot *s = wp_kv_snapshot(r);
-    wp_node_all(h->node, wp_host_now(h), a->asked_us, r->ok, s);
+    wp_node_on_snapshot(h->node, wp_host_now(h), a->asked_us, r->ok, s);
     wp_pb_free(s);
     g_free(a);
     wp_host_pump(h);
@@ -45,10 +45,10 @@
     if (what == WP_KV_QUIET)
         return;
     if (what == WP_KV_CHANGED)
-        wp_node_watched(h->node, wp_host_now(h), item->mod_revision,
-                        (const uint8_t *)item->value.p, item->value.n);
+        wp_node_on_watch_event(h->node, wp_host_now(h), item->mod_revision,
+                               (const uint8_t *)item->value.p, item->value.n);
     else
-        wp_node_watch_ended(h->node, wp_host_now(h));
+        wp_node_on_watch_end(h->node, wp_host_now(h));
     wp_host_pump(h);
 }
 
@@ -67,12 +67,12 @@
         boxes[i].addr = json_string_value(json_object_get(one, "addr"));
         boxes[i].port =
             (uint32_t)json_integer_value(json_object_get(one, "port"));
-        boxes[i].leaving = state && !strcmp(state, "leaving");
+        boxes[i].draining = state && !strcmp(state, "leaving");
         if (!boxes[i].id || !boxes[i].addr)
             n = 0; /* not a list that can be trusted */
     }
     if (json_is_array(list) && (n || !json_array_size(list)))
-        wp_node_boxes(h->node, wp_host_now(h), boxes, n);
+        wp_node_on_box_list(h->node, wp_host_now(h), boxes, n);
     json_decref(j);
     wp_host_pump(h);
 }
@@ -104,7 +104,7 @@
         sums[r.n_sums++] = s;
     }
     if (j)
-        wp_node_ratings(h->node, wp_host_now(h), &r);
+        wp_node_on_ratings(h->node, wp_host_now(h), &r);
     json_decref(j);
     wp_host_pump(h);
 }
--- a/io/wp_news.c
+++ b/io/wp_news.c
@@ -28,9 +28,9 @@
            problem, NULL);
 }
 
-static void take_endpoint(WPSync *s, const char *key, const WPListing *l)
+static void take_endpoint(WPSync *s, const char *key, const WPRegistryEntry *l)
 {
-    const char *problem = wp_listing_problem(l);
+    const char *problem = wp_registry_entry_invalid_field(l);
     if (problem) {
         refuse_entry(s, key, l->id, problem);
         return;
@@ -102,10 +102,10 @@
                      uint64_t revision)
 {
     bool duty = !strcmp(key, WP_KEY_DUTY);
-    const char *box = wp_after(key, WP_KEY_BOX);
-    const char *service = wp_after(key, WP_KEY_BEGAN);
-    const char *seen = wp_after(key, WP_KEY_SEEN);
-    const char *suspect = wp_after(key, WP_KEY_SUSPECT);
+    const char *box = wp_skip_prefix(key, WP_KEY_BOX);
+    const char *service = wp_skip_prefix(key, WP_KEY_BEGAN);
+    const char *seen = wp_skip_prefix(key, WP_KEY_SEEN);
+    const char *suspect = wp_skip_prefix(key, WP_KEY_SUSPECT);
     if (box && value) {
         WPStr zone = *value, addr = wp_str_cut(&zone, ' ');
         g_autofree char *a = g_strndup(addr.p, addr.n);
--- a/io/wp_peers.c
+++ b/io/wp_peers.c
@@ -29,7 +29,7 @@
 static void fill_digest(WPPeers *p, Wp__MirrorDigest *d)
 {
     wp__mirror_digest__init(d);
-    d->complete = wp_mirror_complete(p->mirror);
+    d->complete = wp_mirror_complete_revision(p->mirror);
     d->has_entries = 1;
     d->entries = wp_mirror_size(p->mirror);
     p->ops->fill(p->arg, d);
@@ -62,7 +62,7 @@
     l->peer_blind = d->blind;
     p->entries = MAX(p->entries, d->entries);
     p->ops->heard(p->arg, l->peer, d);
-    if (d->complete <= wp_mirror_complete(p->mirror))
+    if (d->complete <= wp_mirror_complete_revision(p->mirror))
         return;
     wp_lag_hear(&p->lag, now, d->complete);
     /* The newest that knows more is asked: an earlier one may have died. */
@@ -73,11 +73,11 @@
 {
     Wp__Frame f = WP__FRAME__INIT;
     Wp__MirrorDelta *d =
-        pull->packs ? wp_mirror_delta_packed(p->mirror, pull->since) : NULL;
+        pull->packs ? wp_mirror_delta_compressed(p->mirror, pull->since) : NULL;
     if (d && !pull->since &&
-        !wp_tell_take(&p->tell, wp_clock_now(0), d->packed.len)) {
+        !wp_full_sync_limit_take(&p->tell, wp_clock_now(0), d->packed.len)) {
         wp_mirror_delta_free(d);
-        d = wp_mirror_part(p->mirror, WP_KEY_BOX, l->peer_zone);
+        d = wp_mirror_delta_matching(p->mirror, WP_KEY_BOX, l->peer_zone);
     }
     if (!d)
         d = wp_mirror_delta(p->mirror, pull->since);
@@ -89,14 +89,15 @@
 
 static void take_delta(WPPeers *p, WPLink *l, const Wp__MirrorDelta *d)
 {
-    Wp__MirrorDelta *whole = d->has_packed ? wp_mirror_delta_unpack(d) : NULL;
+    Wp__MirrorDelta *whole =
+        d->has_packed ? wp_mirror_delta_decompress(d) : NULL;
     p->pulls = 0;
     if (d->partial) {
         p->partial_us = wp_clock_now(0).mono_us;
         p->pulled_us = 0;
     }
     /* A delta that begins after what is known would leave a gap. */
-    if (d->since > wp_mirror_complete(p->mirror))
+    if (d->since > wp_mirror_complete_revision(p->mirror))
         goto end;
     if (!d->has_packed)
         p->ops->delta(p->arg, l->peer, d);
@@ -144,7 +145,7 @@
     WPPeers *p = arg;
     p->linked++;
     Wp__MirrorDigest d = WP__MIRROR_DIGEST__INIT;
-    d.complete = wp_mirror_complete(p->mirror);
+    d.complete = wp_mirror_complete_revision(p->mirror);
     d.has_entries = 1;
     d.entries = wp_mirror_size(p->mirror);
     p->ops->changed(p->arg, l->peer, true);
@@ -281,7 +282,7 @@
     if (l->id == f->id || !f->link)
         f->link = l;
     bool own = l->peer_zone && !strcmp(l->peer_zone, p->self.zone);
-    if (!own || l->peer_knows <= wp_mirror_complete(p->mirror))
+    if (!own || l->peer_knows <= wp_mirror_complete_revision(p->mirror))
         return;
     f->near = l;
     if (p->feeder && !strcmp(l->peer, p->feeder->id))
@@ -301,7 +302,7 @@
     wp_hub_each(p->hub, find_link, &f);
     if (feeder_only)
         return f.feeder;
-    if (!wp_mirror_complete(p->mirror) && (named || !p->pulls_far))
+    if (!wp_mirror_complete_revision(p->mirror) && (named || !p->pulls_far))
         return f.near;
     return f.near && !p->pulls ? f.near : f.link;
 }
@@ -311,13 +312,13 @@
    Who has waited for long asks any. */
 static bool waits_for_feeder(const WPPeers *p, int64_t behind_ms)
 {
-    return p->feeder && p->zone_is_large && wp_mirror_complete(p->mirror) &&
-           behind_ms < FEEDER_MS;
+    return p->feeder && p->zone_is_large &&
+           wp_mirror_complete_revision(p->mirror) && behind_ms < FEEDER_MS;
 }
 
 static void pull(WPPeers *p, WPTime now)
 {
-    uint64_t complete = wp_mirror_complete(p->mirror);
+    uint64_t complete = wp_mirror_complete_revision(p->mirror);
     int64_t behind_ms = wp_peers_behind_ms(p, now);
     if (!behind_ms || behind_ms < p->patience_ms ||
         !wp_peers_is_due(&p->pulled_us, now,
@@ -394,7 +395,7 @@
 
 int64_t wp_peers_behind_ms(WPPeers *p, WPTime now)
 {
-    wp_lag_known(&p->lag, wp_mirror_complete(p->mirror));
+    wp_lag_known(&p->lag, wp_mirror_complete_revision(p->mirror));
     return wp_lag_ms(&p->lag, now);
 }
 
--- a/io/wp_peers_int.h
+++ b/io/wp_peers_int.h
@@ -5,7 +5,7 @@
 #include "wp_lag.h"
 #include "wp_link.h"
 #include "wp_peers.h"
-#include "wp_tell.h"
+#include "wp_full_sync_limit.h"
 
 enum {
     WP_PEERS_SILENT_MS = 3000,  /* a link that is silent so long is closed */
@@ -48,7 +48,7 @@
     int64_t pulled_us;
     unsigned pulls; /* in a row that brought nothing */
     uint64_t behind_link;
-    WPTell tell;
+    WPFullSyncLimit tell;
     int64_t partial_us; /* when a box named those of its zone instead of telling
                            all; 0: none has */
     bool pulls_far;     /* all entries, if need be */
--- a/io/wp_platform.h
+++ b/io/wp_platform.h
@@ -25,9 +25,9 @@
 /* One entry of the store, decoded. */
 typedef struct WPNews {
     WPNewsKind kind;
-    WPRoutes *routes;   /* ROUTES: the caller's */
-    WPListing listing;  /* ENDPOINT; GONE, BAD: the id alone */
-    const char *zone;   /* ZONE_OUT, ZONE_BACK */
+    WPRoutes *routes;        /* ROUTES: the caller's */
+    WPRegistryEntry listing; /* ENDPOINT; GONE, BAD: the id alone */
+    const char *zone;        /* ZONE_OUT, ZONE_BACK */
     WPShiftOrder order; /* ORDER; OUTCOME: service, version and the record's own
                            revision */
     WPShiftState state; /* OUTCOME */
--- a/io/wp_record.c
+++ b/io/wp_record.c
@@ -45,7 +45,7 @@
 /* The condition that nobody has written a key since it was read. */
 static WPKvCompare as_read(const WPSync *s, const char *key)
 {
-    return (WPKvCompare){ key, wp_mirror_revision(s->mirror, key) };
+    return (WPKvCompare){ key, wp_mirror_key_revision(s->mirror, key) };
 }
 
 /* A step holds only for the order that it was decided on: one that a paused box
@@ -185,8 +185,8 @@
     if (now.mono_us < s->boxes_us || !may_write(s, now) || !s->complete ||
         s->host->leaving)
         return;
-    s->boxes_us =
-        now.mono_us + (int64_t)(BOXES_MS * (1 + s->fresh.haste)) * WP_US_PER_MS;
+    s->boxes_us = now.mono_us +
+                  (int64_t)(BOXES_MS * (1 + s->fresh.jitter)) * WP_US_PER_MS;
     if (s->up || now.mono_us >= s->self_us)
         add_box(&b, set->id, set->peers, set->zone, false);
     if (s->up && wp_peers_on_duty(s->peers, false))
--- a/io/wp_relay.c
+++ b/io/wp_relay.c
@@ -127,7 +127,7 @@
 {
     WPTime now = wp_clock_now(0);
     struct evbuffer *request = evbuffer_new();
-    bool once = r->flow->route->repeat == WP_REPEAT_NEVER;
+    bool once = r->flow->route->retry_policy == WP_RETRY_NEVER;
     wp_relay_note_leg(r, m, now);
     write_request(r, m, request);
     wp_sync_share(r->host->sync);
@@ -246,7 +246,7 @@
     note_words(r);
     if (!r->begun)
         keep_fields(r, h);
-    r->answer_streams = r->flow->route->repeat == WP_REPEAT_STREAM &&
+    r->answer_streams = r->flow->route->retry_policy == WP_RETRY_STREAM &&
                         h->status == 200 && !r->answer.not_run;
     if (!r->answer_streams)
         return;
--- a/io/wp_relay_log.c
+++ b/io/wp_relay_log.c
@@ -26,8 +26,9 @@
              r->begun_us ? (double)(r->begun_us - f->start_us) / WP_US_PER_MS
                          : 0);
     snprintf(gap, sizeof(gap), "%.1f", (double)f->gap_us / WP_US_PER_MS);
-    snprintf(aims, sizeof(aims), "%u+%u", f->route ? f->route->aim_ms : 0,
-             f->route ? f->route->gap_ms : 0);
+    snprintf(aims, sizeof(aims), "%u+%u",
+             f->route ? f->route->target_latency_ms : 0,
+             f->route ? f->route->max_event_gap_ms : 0);
     snprintf(tokens, sizeof(tokens), "%u+%u", f->prompt.tokens,
              f->answer_tokens);
     snprintf(age, sizeof(age), "%ld", (long)r->list_age_ms);
--- a/io/wp_reports.c
+++ b/io/wp_reports.c
@@ -265,7 +265,7 @@
                                 .window_ms = window_ms,
                                 .late_ms = late_ms,
                                 .lease_ms = (uint32_t)set->duty_lease_ms,
-                                .haste = s->fresh.haste };
+                                .haste = s->fresh.jitter };
     r->duty = wp_duty_new(&rules, r->usage, now);
     s->host->direct.usage = r->usage;
     return r;
--- a/io/wp_seen.c
+++ b/io/wp_seen.c
@@ -146,7 +146,7 @@
     v->value = wp_pb_pack(&m.base);
     v->writing = true;
     const WPKvCompare compare = { v->key,
-                                  wp_mirror_revision(s->mirror, v->key) };
+                                  wp_mirror_key_revision(s->mirror, v->key) };
     const WPKvOp op = { v->key,
                         wp_strn((const char *)v->value->data, v->value->len),
                         false };
@@ -167,7 +167,7 @@
         return;
     g_autofree char *key = g_strconcat(WP_KEY_SEEN, sh->service, "/",
                                        f->sync->host->settings->id, NULL);
-    uint64_t revision = wp_mirror_revision(f->sync->mirror, key);
+    uint64_t revision = wp_mirror_key_revision(f->sync->mirror, key);
     if (f->shift && revision >= f->revision)
         return;
     f->shift = sh;
--- a/io/wp_server.c
+++ b/io/wp_server.c
@@ -123,23 +123,23 @@
 {
     WPPolicy *p = wp_entry_policy(s->entry);
     const WPWorkspace *ws = p ? wp_ask_workspace(p, r) : NULL;
-    WPSet any = { 0 };
+    WPVersionSet any = { 0 };
     if (refuse_early(s, r, p ? ws ? WP_OK : WP_NO_KEY : WP_NOT_READY, NULL))
         return;
     json_t *list = json_array();
     for (unsigned k = 0; k < wp_policy_kinds(p); k++) {
         const WPKind *kind = wp_policy_kind_at(p, k);
-        WPSet set;
+        WPVersionSet set;
         wp_policy_allowed(p, ws, kind, NULL, &set);
-        wp_policy_narrow(p, "auto", &set);
-        if (!wp_set_empty(&set))
+        wp_policy_filter_model(p, "auto", &set);
+        if (!wp_version_set_empty(&set))
             add_model(list, kind->spec->name, "kind");
-        for (unsigned w = 0; w < WP_SET_WORDS; w++)
+        for (unsigned w = 0; w < WP_VERSION_SET_WORDS; w++)
             any.w[w] |= set.w[w];
     }
     for (unsigned i = 0; i < wp_policy_versions(p); i++) {
         const Wp__Version *v = wp_policy_version_at(p, i)->spec;
-        if (wp_set_has(&any, i))
+        if (wp_version_set_has(&any, i))
             add_model(list, v->name, v->model ? v->model : "");
     }
     wp_http_json(r, 200,
@@ -207,7 +207,7 @@
 static void role_leave(void *role, WPTime now)
 {
     WPServer *s = role;
-    wp_node_leave(wp_host_node(s->host), now);
+    wp_node_drain(wp_host_node(s->host), now);
 }
 
 static bool role_idle(void *role)
--- a/io/wp_steer.c
+++ b/io/wp_steer.c
@@ -43,7 +43,7 @@
     s->rollout_due_us = now.mono_us + STEER_US;
     wp_rollout_monitor_poll(&s->watch, wp_entry_policy(s->entry),
                             wp_node_quality(n), now);
-    if (!wp_node_entry_on_duty(n, STEERERS))
+    if (!wp_node_is_designated_entry(n, STEERERS))
         return;
     GPtrArray *ops = next_step(s, now, &why, &stop);
     if (!ops)
--- a/io/wp_suspect_news.c
+++ b/io/wp_suspect_news.c
@@ -268,7 +268,7 @@
     d->value = l->removes ? NULL : wp_pb_pack(&m.base);
     d->writing = true;
     const WPKvCompare compare = { d->key,
-                                  wp_mirror_revision(s->mirror, d->key) };
+                                  wp_mirror_key_revision(s->mirror, d->key) };
     WPKvOp op = { .key = d->key, .remove = l->removes };
     if (d->value)
         op.value = wp_strn((const char *)d->value->data, d->value->len);
--- a/io/wp_sync.c
+++ b/io/wp_sync.c
@@ -45,7 +45,7 @@
 {
     int64_t now_us = time_of(s).mono_us;
     if (up)
-        wp_fresh_hear(&s->fresh, now_us);
+        wp_staleness_confirm(&s->fresh, now_us);
     else if (!wp_peers_any_sighted(s->peers))
         s->away_us = now_us;
     if (s->up == up && s->tried)
@@ -53,7 +53,7 @@
     s->turned_us = now_us;
     s->up = up;
     s->tried = true;
-    s->host->direct.start.store_away = !up;
+    s->host->direct.start.store_unavailable = !up;
     wp_peers_announce(s->peers);
     wp_log(&s->host->log, up ? WP_INFO : WP_WARN,
            up ? "store_regained" : "store_lost", NULL);
@@ -85,7 +85,7 @@
     wp_count(&s->host->direct.counters, WP_C_STORE_ERRORS);
     set_up(s, false);
     uint32_t pause_ms = s->complete
-                            ? wp_fresh_pause_ms(&s->fresh, s->failures++)
+                            ? wp_staleness_backoff_ms(&s->fresh, s->failures++)
                             : START_RETRY_MS;
     if (must_ask(s))
         s->retry_us = now.mono_us + (int64_t)pause_ms * WP_US_PER_MS;
@@ -130,8 +130,8 @@
 /* All that the store holds at present has been taken in. */
 static void note_known(WPSync *s)
 {
-    uint64_t has = wp_mirror_complete(s->mirror);
-    wp_fresh_know(&s->fresh, has, has, time_of(s).mono_us);
+    uint64_t has = wp_mirror_complete_revision(s->mirror);
+    wp_staleness_note_synced(&s->fresh, has, has, time_of(s).mono_us);
 }
 
 static void on_answer(WPSync *s)
@@ -175,7 +175,7 @@
     for (size_t i = 0; i < r->n_items; i++)
         g_hash_table_add(keys, (gpointer)r->items[i].key.p);
     g_autoptr(GPtrArray) lacking =
-        wp_mirror_lacking(s->mirror, keys, r->revision);
+        wp_mirror_not_in(s->mirror, keys, r->revision);
     for (guint i = 0; i < lacking->len; i++) {
         const WPMirrorItem *item = g_ptr_array_index(lacking, i);
         g_autofree char *key = g_strdup(item->key);
@@ -193,8 +193,8 @@
         return;
     }
     s->catching_up = true;
-    wp_fresh_ask(&s->fresh, now);
-    watch_from(s, wp_mirror_complete(s->mirror) + 1, true);
+    wp_staleness_note_poll(&s->fresh, now);
+    watch_from(s, wp_mirror_complete_revision(s->mirror) + 1, true);
 }
 
 static void on_range(void *arg, const WPKvResult *r)
@@ -231,14 +231,14 @@
     s->reading = true;
     s->read_us = time_of(s).mono_us;
     s->retry_us = 0;
-    wp_fresh_ask(&s->fresh, time_of(s));
+    wp_staleness_note_poll(&s->fresh, time_of(s));
     s->kv->ops->range(s->kv, "", NULL, on_range, s);
 }
 
 static int64_t start_ms(const WPSync *s)
 {
-    return wp_fresh_start_ms(&s->fresh, s->host->settings->first_start,
-                             wp_peers_may_tell(s->peers));
+    return wp_staleness_start_wait_ms(&s->fresh, s->host->settings->first_start,
+                                      wp_peers_may_tell(s->peers));
 }
 
 /* Whether this box has just started and others are given time to tell it. At
@@ -257,17 +257,17 @@
 static void keep_fresh(WPSync *s, WPTime now)
 {
     bool must = must_ask(s);
-    bool stale = wp_fresh_is_due(&s->fresh, now, wp_peers_rank(s->peers));
+    bool stale = wp_staleness_poll_due(&s->fresh, now, wp_peers_rank(s->peers));
     if (s->watching && !must && !s->catching_up) {
         s->kv->ops->unwatch(s->kv);
         s->watching = false;
     }
     if (s->reading || s->retry_us || s->watching || waits_to_be_told(s, now))
         return;
-    bool behind =
-        wp_fresh_lags(&s->fresh, now, wp_peers_behind_ms(s->peers, now));
+    bool behind = wp_staleness_catch_up_due(&s->fresh, now,
+                                            wp_peers_behind_ms(s->peers, now));
     if (must && s->complete)
-        watch_from(s, wp_mirror_complete(s->mirror) + 1, true);
+        watch_from(s, wp_mirror_complete_revision(s->mirror) + 1, true);
     else if (must || behind || stale)
         catch_up(s, now);
 }
@@ -288,7 +288,7 @@
 
 int64_t wp_sync_list_age_ms(const WPSync *s, WPTime now)
 {
-    return wp_fresh_known_ms(&s->fresh, now);
+    return wp_staleness_ms(&s->fresh, now);
 }
 
 /* Whether this box may be the last to hear of a change: the store does not
@@ -422,7 +422,7 @@
     s->fresh.apply_ms = (uint32_t)h->settings->apply_ms;
     s->seen = wp_seen_new();
     s->life = (uint64_t)wp_clock_seed() << 32 | wp_clock_seed();
-    s->fresh.haste = g_rand_double(h->direct.rand);
+    s->fresh.jitter = g_rand_double(h->direct.rand);
     s->mirror = wp_mirror_new();
     s->turns = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     s->peers = wp_peers_new(h->base, h->settings, s->mirror, &wp_sync_peers_ops,
--- a/io/wp_sync_int.h
+++ b/io/wp_sync_int.h
@@ -3,7 +3,7 @@
 #define WP_SYNC_INT_H
 
 #include "wp_direct_int.h"
-#include "wp_fresh.h"
+#include "wp_staleness.h"
 #include "wp_mirror.h"
 #include "wp_peers.h"
 
@@ -46,7 +46,7 @@
     bool watching;                /* a watch is under way */
     char *loaded[WP_LOADED_TOLD]; /* told with the digest; the fleet's */
     bool catching_up;             /* it is to end with its first answer */
-    WPFresh fresh;
+    WPStaleness fresh;
     bool up, tried;    /* the store's last answer; whether it was ever asked */
     bool complete;     /* the store or a peer has told everything once */
     int64_t retry_us;  /* when to read again; 0: not waiting */
--- a/io/wp_sync_peers.c
+++ b/io/wp_sync_peers.c
@@ -30,7 +30,8 @@
         return;
     }
     wp_mirror_advance(s->mirror, d->complete);
-    wp_fresh_know(&s->fresh, 0, wp_mirror_complete(s->mirror), 0);
+    wp_staleness_note_synced(&s->fresh, 0,
+                             wp_mirror_complete_revision(s->mirror), 0);
     s->complete = true;
     wp_relay_enter_held(s->host);
     wp_peers_announce(s->peers);
--- a/io/wp_zone.c
+++ b/io/wp_zone.c
@@ -13,8 +13,8 @@
     WPDirectHost *host;
     WPPeers *peers;
     uint64_t self; /* hash of this box's id */
-    WPBoxNews news;
-    WPBundle bundle; /* to be passed on, of a box that does so */
+    WPBoxUpdates news;
+    WPUpdateBatch bundle; /* to be passed on, of a box that does so */
     struct event *send;
     uint64_t odd, logged; /* records left out: so far, when last told */
     int64_t logged_us;
@@ -43,25 +43,25 @@
     Wp__ZoneNews out;
     if (!z->bundle.records)
         return;
-    wp_bundle_fill(&z->bundle, &out);
+    wp_update_batch_fill(&z->bundle, &out);
     wp_peers_pass_news(z->peers, now, &out);
-    wp_bundle_clear(&z->bundle);
+    wp_update_batch_reset(&z->bundle);
 }
 
 static void tell(WPZone *z)
 {
     Wp__BoxNews own, *list[1] = { &own };
     Wp__ZoneNews out = WP__ZONE_NEWS__INIT;
-    if (!wp_box_news_any(&z->news))
+    if (!wp_box_updates_pending(&z->news))
         return;
-    wp_box_news_fill(&z->news, z->self, &own);
+    wp_box_updates_fill(&z->news, z->self, &own);
     out.n_boxes = 1;
     out.boxes = list;
     if (wp_peers_passes_news(z->peers))
-        wp_bundle_add(&z->bundle, &own);
+        wp_update_batch_add(&z->bundle, &own);
     else
         wp_peers_send_news(z->peers, &out);
-    wp_box_news_clear(&z->news);
+    wp_box_updates_reset(&z->news);
 }
 
 static void on_send(evutil_socket_t fd, short what, void *arg)
@@ -84,7 +84,7 @@
 
 void wp_zone_wake(WPZone *z)
 {
-    if (wp_box_news_any(&z->news))
+    if (wp_box_updates_pending(&z->news))
         arm(z);
 }
 
@@ -95,7 +95,7 @@
     if (!z->host->settings->zone_news || !wp_demand_is_wanted(d, now))
         return;
     while (wp_demand_tell(d, now, &n))
-        wp_box_news_asked(&z->news, &n);
+        wp_box_updates_add_demand(&z->news, &n);
     wp_zone_wake(z);
 }
 
@@ -105,9 +105,9 @@
     for (size_t i = 0; i < m->n_boxes; i++) {
         if (m->boxes[i]->box == z->self)
             continue;
-        z->odd += wp_box_news_hear(z->host->direct.fleet, now, m->boxes[i]);
+        z->odd += wp_box_updates_merge(z->host->direct.fleet, now, m->boxes[i]);
         if (!m->passed_on && wp_peers_passes_news(z->peers))
-            wp_bundle_add(&z->bundle, m->boxes[i]);
+            wp_update_batch_add(&z->bundle, m->boxes[i]);
     }
     if (z->bundle.records)
         arm(z);
@@ -119,8 +119,8 @@
     z->host = h;
     z->peers = peers;
     z->self = wp_hash(wp_str(h->settings->id), 0);
-    wp_box_news_init(&z->news);
-    wp_bundle_init(&z->bundle);
+    wp_box_updates_init(&z->news);
+    wp_update_batch_init(&z->bundle);
     z->send = evtimer_new(h->base, on_send, z);
     if (h->settings->zone_news)
         wp_fleet_set_updates(h->direct.fleet, &z->news);
@@ -133,7 +133,7 @@
         return;
     wp_fleet_set_updates(z->host->direct.fleet, NULL);
     event_free(z->send);
-    wp_bundle_end(&z->bundle);
-    wp_box_news_end(&z->news);
+    wp_update_batch_destroy(&z->bundle);
+    wp_box_updates_destroy(&z->news);
     g_free(z);
 }
--- a/io/wp_zone.h
+++ b/io/wp_zone.h
@@ -2,7 +2,7 @@
 #ifndef WP_ZONE_H
 #define WP_ZONE_H
 
-#include "wp_box_news.h"
+#include "wp_box_updates.h"
 #include "wp_direct_int.h"
 #include "wp_peers.h"
 
--- a/src/wp_agent.c
+++ b/src/wp_agent.c
@@ -85,7 +85,7 @@
         wp_node_set_policy(a->node, a->policy);
     }
     wp_members_each(t, note_left, &noting);
-    wp_bills_set_writers(a->bills, wp_members_live(t));
+    wp_bills_set_writers(a->bills, wp_members_live_count(t));
 }
 
 static WPVerdict refuse(WPCode code, uint32_t retry_ms)
@@ -103,13 +103,13 @@
 {
     const WPVersion *v = wp_policy_version(a->policy, s->version);
     WPLabels *labels = wp_labels_new();
-    WPSet set;
+    WPVersionSet set;
     for (size_t i = 0; i < s->n_labels; i++)
         wp_labels_set(labels, wp_str(s->labels[i]->key),
                       wp_str(s->labels[i]->value));
     wp_policy_allowed(a->policy, ws, kind, labels, &set);
     wp_labels_free(labels);
-    return v && wp_set_has(&set, v->index);
+    return v && wp_version_set_has(&set, v->index);
 }
 
 /* Checked when a request comes and again when its turn comes, because the
@@ -126,7 +126,7 @@
         return refuse(WP_VERSION_REFUSED, 0);
     int64_t bound_ms = (int64_t)kind->spec->stale_bound_s * WP_MS_PER_S;
     if (bound_ms && !a->off[WP_GUARD_STALE] &&
-        wp_node_age_ms(a->node, now) > bound_ms)
+        wp_node_config_age_ms(a->node, now) > bound_ms)
         return refuse(WP_STALE, STALE_RETRY_MS);
     return ok;
 }
@@ -412,7 +412,7 @@
 void wp_agent_hand_over(WPAgent *a, WPTime now, WPHandOver fn, void *arg)
 {
     const WPMembers *t = wp_node_members(a->node);
-    for (unsigned i = 0; i < wp_members_live(t); i++) {
+    for (unsigned i = 0; i < wp_members_live_count(t); i++) {
         const WPMemberRow *r = wp_members_live_at(t, i);
         if (is_fellow(a, r->m) && !a->off[WP_GUARD_HANDOVER])
             pass_to(a, r, (uint64_t)now.wall_ms, fn, arg);
@@ -439,7 +439,7 @@
     uint64_t at_ms = (uint64_t)now.wall_ms + a->once_skew_ms;
     if (a->leaving || a->off[WP_GUARD_HANDOVER])
         return;
-    for (unsigned i = 0; i < wp_members_live(t); i++) {
+    for (unsigned i = 0; i < wp_members_live_count(t); i++) {
         const WPMemberRow *r = wp_members_live_at(t, i);
         if (r->m->incarnation + a->once_settle_ms <= at_ms &&
             is_fellow(a, r->m) && first_offer(a, r->m))
@@ -457,7 +457,7 @@
 void wp_agent_leave(WPAgent *a, WPTime now)
 {
     a->leaving = true;
-    wp_node_leave(a->node, now);
+    wp_node_drain(a->node, now);
 }
 
 void wp_agent_load(const WPAgent *a, Wp__Load *out)
--- a/src/wp_allow.c
+++ b/src/wp_allow.c
@@ -15,23 +15,24 @@
                                 const WPLabels *own)
 {
     WPLabels *l = wp_labels_copy(request);
-    wp_rules_run(p, "request", own, l);
+    wp_rules_apply(p, "request", own, l);
     return l;
 }
 
-void wp_allowed_slow(const WPPolicy *p, const WPWorkspace *ws,
-                     const WPKind *kind, const WPLabels *request, WPSet *out)
+void wp_policy_compute_allowed(const WPPolicy *p, const WPWorkspace *ws,
+                               const WPKind *kind, const WPLabels *request,
+                               WPVersionSet *out)
 {
-    wp_policy_allowed_since(p, ws, kind, request, UINT64_MAX, out);
+    wp_policy_allowed_as_of(p, ws, kind, request, UINT64_MAX, out);
 }
 
-void wp_policy_allowed_since(const WPPolicy *p, const WPWorkspace *ws,
+void wp_policy_allowed_as_of(const WPPolicy *p, const WPWorkspace *ws,
                              const WPKind *kind, const WPLabels *request,
-                             uint64_t at_ms, WPSet *out)
+                             uint64_t at_ms, WPVersionSet *out)
 {
     WPLabels *own = wp_traffic_labels(ws, kind);
     WPLabels *req = request_labels(p, request, own);
-    WPSet deny = { 0 };
+    WPVersionSet deny = { 0 };
     memset(out, 0, sizeof(*out));
     for (guint i = 0; i < p->selectors->len; i++) {
         const WPSelectorRule *s =
@@ -39,30 +40,32 @@
         bool later = !s->deny && s->spec->changed_ms > at_ms;
         if (later || !s->traffic || !wp_selector_match(s->traffic, own, req))
             continue;
-        WPSet *into = s->deny ? &deny : out;
-        for (unsigned w = 0; w < WP_SET_WORDS; w++)
+        WPVersionSet *into = s->deny ? &deny : out;
+        for (unsigned w = 0; w < WP_VERSION_SET_WORDS; w++)
             into->w[w] |= s->versions.w[w];
     }
-    for (unsigned w = 0; w < WP_SET_WORDS; w++)
+    for (unsigned w = 0; w < WP_VERSION_SET_WORDS; w++)
         out->w[w] &= ~deny.w[w];
     for (guint i = 0; i < p->versions->len; i++)
         if (wp_policy_version_at(p, i)->spec->withdrawn)
-            wp_set_remove(out, i);
+            wp_version_set_remove(out, i);
     wp_labels_free(req);
     wp_labels_free(own);
 }
 
 void wp_policy_allowed(const WPPolicy *p, const WPWorkspace *ws,
-                       const WPKind *kind, const WPLabels *request, WPSet *out)
+                       const WPKind *kind, const WPLabels *request,
+                       WPVersionSet *out)
 {
     if (kind && (!request || !wp_labels_count(request)))
-        *out = p->plain[ws->index * p->kinds->len + kind->index];
+        *out = p->allowed_table[ws->index * p->kinds->len + kind->index];
     else
-        wp_allowed_slow(p, ws, kind, request, out);
+        wp_policy_compute_allowed(p, ws, kind, request, out);
 }
 
 /* Plain services are reached by their own path, never as a model. */
-bool wp_policy_narrow(const WPPolicy *p, const char *model, WPSet *set)
+bool wp_policy_filter_model(const WPPolicy *p, const char *model,
+                            WPVersionSet *set)
 {
     bool any = !strcmp(model, "auto") || wp_policy_kind(p, model);
     bool known = any;
@@ -72,7 +75,7 @@
             !strcmp(v->name, model) || (v->model && !strcmp(v->model, model));
         known |= hit && !v->service;
         if (v->service || !(hit || any))
-            wp_set_remove(set, i);
+            wp_version_set_remove(set, i);
     }
     return known;
 }
@@ -88,7 +91,7 @@
     for (guint i = 0; i < p->selectors->len; i++) {
         const WPSelectorRule *s =
             &g_array_index(p->selectors, WPSelectorRule, i);
-        if (!wp_set_has(&s->versions, v->index) || !s->traffic ||
+        if (!wp_version_set_has(&s->versions, v->index) || !s->traffic ||
             !wp_selector_match(s->traffic, own, req))
             continue;
         g_string_append_printf(why, " %s by selector %s;",
--- a/src/wp_base.c
+++ b/src/wp_base.c
@@ -1,4 +1,4 @@
-/* Strings, hashes and request numbers shared by every module. */
+/* String parsing, hashing and UUID generation. */
 #include "wp_base.h"
 
 #include <math.h>
@@ -31,17 +31,17 @@
     return s;
 }
 
-const char *wp_after(const char *s, const char *prefix)
+const char *wp_skip_prefix(const char *s, const char *prefix)
 {
     return g_str_has_prefix(s, prefix) ? s + strlen(prefix) : NULL;
 }
 
-enum { DIGITS_MOST = 18 }; /* of a number that is taken */
+enum { DIGITS_MAX = 18 }; /* in a number that the parsers accept */
 
-bool wp_str_whole(WPStr s, uint64_t *out)
+bool wp_str_uint(WPStr s, uint64_t *out)
 {
     uint64_t v = 0;
-    if (!s.n || s.n > DIGITS_MOST)
+    if (!s.n || s.n > DIGITS_MAX)
         return false;
     for (size_t i = 0; i < s.n; i++) {
         if (!g_ascii_isdigit(s.p[i]))
@@ -52,7 +52,7 @@
     return true;
 }
 
-/* What else strtod() takes (signs, exponents, "nan") is no decimal number. */
+/* Rejects what strtod() would accept as well: signs, exponents and "nan". */
 static bool is_decimal(WPStr s)
 {
     unsigned digits = 0, points = 0;
@@ -60,7 +60,7 @@
         digits += g_ascii_isdigit(s.p[i]);
         points += s.p[i] == '.';
     }
-    return digits && digits <= DIGITS_MOST && points <= 1 &&
+    return digits && digits <= DIGITS_MAX && points <= 1 &&
            digits + points == s.n;
 }
 
--- a/src/wp_base.h
+++ b/src/wp_base.h
@@ -1,4 +1,5 @@
-/* Plain building blocks: length-counted strings, intrusive lists, sizes. */
+/* Basic types and helpers that all modules use: length-counted strings,
+ * intrusive lists, hashes, time and UUIDs. */
 #ifndef WP_BASE_H
 #define WP_BASE_H
 
@@ -13,8 +14,9 @@
 #define WP_US_PER_MS 1000
 #define WP_US_PER_S 1000000
 
-/* The present, handed to every function that decides. Monotonic time orders
-   and measures; wall time only stamps what other boxes will read. */
+/* The current time, passed in by the caller of every function whose result
+   depends on it. Intervals and deadlines use the monotonic clock; the wall
+   clock only provides time stamps that other boxes read. */
 typedef struct WPTime {
     int64_t mono_us; /* microseconds, monotonic in this process */
     int64_t wall_ms; /* Unix milliseconds */
@@ -43,18 +45,24 @@
     return a.n == b.n && memcmp(a.p, b.p, a.n) == 0;
 }
 
-/* The part of `s` before the first `sep`; `s` becomes what follows it. */
+/* Returns the part of `s` before the first `sep` and advances `s` past that
+   separator. Without a separator, returns all of `s` and leaves `s` empty. */
 WPStr wp_str_cut(WPStr *s, char sep);
+
+/* Returns `s` without leading and trailing ASCII white space. */
 WPStr wp_str_trim(WPStr s);
 
-/* What follows `prefix` in `s`; NULL when it does not begin so. */
-const char *wp_after(const char *s, const char *prefix);
+/* Returns the rest of `s` after `prefix`, or NULL if `s` does not begin with
+   `prefix`. */
+const char *wp_skip_prefix(const char *s, const char *prefix);
 
-/* Reads a whole number of digits alone, at most 18; false when it is none. */
-bool wp_str_whole(WPStr s, uint64_t *out);
+/* Parses an unsigned integer of 1 to 18 decimal digits into `out`. Returns
+   false and leaves `out` unchanged if `s` is anything else. */
+bool wp_str_uint(WPStr s, uint64_t *out);
 
-/* Reads a decimal number: digits with at most one point among them, and nothing
-   else; false when it is none. */
+/* Parses a decimal number without sign or exponent into `out`: 1 to 18 digits
+   and at most one decimal point. Returns false and leaves `out` unchanged if
+   `s` is anything else. */
 bool wp_str_decimal(WPStr s, double *out);
 
 /* Intrusive doubly linked list; a head points to itself when empty. */
@@ -99,17 +107,20 @@
 /* 64-bit hash of a string with a seed (xxHash); the same on every box. */
 uint64_t wp_hash(WPStr s, uint64_t seed);
 
-/* A hash of (seed, key) as a number in the open interval (0, 1). */
+/* Returns the hash of (seed, s) as a number in the open interval (0, 1). */
 double wp_hash_unit(WPStr s, uint64_t seed);
 
-/* Rendezvous score: the candidate with the highest score wins its key.
-   `weight` above 0 scales the share of keys won. */
+/* Returns the score of `candidate` for `key` in weighted rendezvous hashing:
+   the candidate with the highest score owns the key. A candidate owns a share
+   of all keys in proportion to its `weight`, which must be above 0. */
 double wp_rendezvous(WPStr candidate, uint64_t key, double weight);
 
-/* Milliseconds in a UUIDv7's time field, or 0 when `s` is not a UUIDv7. */
+/* Returns the Unix milliseconds in a UUIDv7's time field, or 0 if `s` is not a
+   UUIDv7. */
 uint64_t wp_uuid7_ms(WPStr s);
 
-/* Writes a UUIDv7 made of the wall time and `rand` bits; `out` holds 37. */
+/* Writes a UUIDv7 with the time stamp `wall_ms` (Unix milliseconds) and random
+   bits from `rand` to `out`, which must hold 37 bytes. */
 void wp_uuid7(char *out, uint64_t wall_ms, GRand *rand);
 
 #endif
--- a/src/wp_box_news.c
+++ b/src/wp_box_updates.c
@@ -1,15 +1,15 @@
-/* News of endpoints, within a zone. */
-#include "wp_box_news.h"
+/* Updates about endpoints, exchanged within a zone. */
+#include "wp_box_updates.h"
 #include "wp_pb.h"
 
 enum {
-    READING_MOST_MS = 60000, /* of one prompt; the longest known take 3 s */
-    LOAD_MOST = 100000       /* requests at one endpoint */
+    PREFILL_MAX_MS = 60000, /* of one prompt; the longest known takes 3 s */
+    LOAD_MAX = 100000       /* running or waiting requests at one endpoint */
 };
 
-void wp_box_news_init(WPBoxNews *n)
+void wp_box_updates_init(WPBoxUpdates *n)
 {
-    *n = (WPBoxNews){ 0 };
+    *n = (WPBoxUpdates){ 0 };
     n->sent_to = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     n->sent_ms = g_array_new(FALSE, FALSE, sizeof(uint32_t));
     n->began_at = g_array_new(FALSE, FALSE, sizeof(uint64_t));
@@ -24,7 +24,7 @@
     n->asked_per_min = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 }
 
-void wp_box_news_end(WPBoxNews *n)
+void wp_box_updates_destroy(WPBoxUpdates *n)
 {
     g_array_unref(n->sent_to);
     g_array_unref(n->sent_ms);
@@ -40,38 +40,42 @@
     g_array_unref(n->asked_per_min);
 }
 
-/* Whether one more fits; counts it if not. */
-static bool has_room(WPBoxNews *n, const GArray *a)
+/* Returns whether `a` has room for one more record; counts a dropped record if
+   not. */
+static bool has_room(WPBoxUpdates *n, const GArray *a)
 {
-    if (a->len < WP_BOX_NEWS_MOST)
+    if (a->len < WP_BOX_UPDATES_MAX)
         return true;
     n->dropped++;
     return false;
 }
 
-static void add_reading(WPBoxNews *n, GArray *at, GArray *in_ms,
-                        uint64_t replica, double reading_us)
+static void add_prefill(WPBoxUpdates *n, GArray *at, GArray *in_ms,
+                        uint64_t replica, double prefill_us)
 {
-    double ms = reading_us / WP_US_PER_MS;
-    uint32_t whole_ms = (uint32_t)CLAMP(ms, 0, READING_MOST_MS);
+    double ms = prefill_us / WP_US_PER_MS;
+    uint32_t prefill_ms = (uint32_t)CLAMP(ms, 0, PREFILL_MAX_MS);
     if (!has_room(n, at))
         return;
     g_array_append_val(at, replica);
-    g_array_append_val(in_ms, whole_ms);
+    g_array_append_val(in_ms, prefill_ms);
 }
 
-void wp_box_news_sent(WPBoxNews *n, uint64_t replica, double reading_us)
+void wp_box_updates_add_sent(WPBoxUpdates *n, uint64_t replica,
+                             double prefill_us)
 {
-    add_reading(n, n->sent_to, n->sent_ms, replica, reading_us);
+    add_prefill(n, n->sent_to, n->sent_ms, replica, prefill_us);
 }
 
-void wp_box_news_began(WPBoxNews *n, uint64_t replica, double reading_us)
+void wp_box_updates_add_first_byte(WPBoxUpdates *n, uint64_t replica,
+                                   double prefill_us)
 {
-    add_reading(n, n->began_at, n->began_ms, replica, reading_us);
+    add_prefill(n, n->began_at, n->began_ms, replica, prefill_us);
 }
 
-/* The newest of an endpoint is told alone. */
-static bool replace_load(WPBoxNews *n, uint64_t replica, uint32_t running,
+/* Overwrites a queued load of the same endpoint, as only the newest is sent.
+   Returns false if there is none. */
+static bool replace_load(WPBoxUpdates *n, uint64_t replica, uint32_t running,
                          uint32_t waiting)
 {
     for (guint i = 0; i < n->load_of->len; i++) {
@@ -84,8 +88,8 @@
     return false;
 }
 
-void wp_box_news_load(WPBoxNews *n, uint64_t replica, uint32_t running,
-                      uint32_t waiting)
+void wp_box_updates_add_load(WPBoxUpdates *n, uint64_t replica,
+                             uint32_t running, uint32_t waiting)
 {
     if (replace_load(n, replica, running, waiting) || !has_room(n, n->load_of))
         return;
@@ -94,30 +98,31 @@
     g_array_append_val(n->load_waiting, waiting);
 }
 
-void wp_box_news_kept(WPBoxNews *n, const WPCachedPrefixUpdate *kept)
+void wp_box_updates_add_cached(WPBoxUpdates *n,
+                               const WPCachedPrefixUpdate *cached)
 {
     if (!has_room(n, n->kept_at))
         return;
-    g_array_append_val(n->kept_at, kept->replica);
-    g_array_append_val(n->kept_prefix, kept->key);
-    g_array_append_val(n->kept_tokens, kept->tokens);
+    g_array_append_val(n->kept_at, cached->replica);
+    g_array_append_val(n->kept_prefix, cached->key);
+    g_array_append_val(n->kept_tokens, cached->tokens);
 }
 
-void wp_box_news_asked(WPBoxNews *n, const WPDemandNews *asked)
+void wp_box_updates_add_demand(WPBoxUpdates *n, const WPDemandNews *demand)
 {
     if (!has_room(n, n->asked_of))
         return;
-    g_array_append_val(n->asked_of, asked->service);
-    g_array_append_val(n->asked_per_min, asked->per_min);
+    g_array_append_val(n->asked_of, demand->service);
+    g_array_append_val(n->asked_per_min, demand->per_min);
 }
 
-bool wp_box_news_any(const WPBoxNews *n)
+bool wp_box_updates_pending(const WPBoxUpdates *n)
 {
     return n->sent_to->len || n->began_at->len || n->load_of->len ||
            n->kept_at->len || n->asked_of->len;
 }
 
-void wp_box_news_fill(const WPBoxNews *n, uint64_t box, Wp__BoxNews *out)
+void wp_box_updates_fill(const WPBoxUpdates *n, uint64_t box, Wp__BoxNews *out)
 {
     wp__box_news__init(out);
     out->box = box;
@@ -142,7 +147,7 @@
     out->asked_per_min = (uint32_t *)(void *)n->asked_per_min->data;
 }
 
-void wp_box_news_clear(WPBoxNews *n)
+void wp_box_updates_reset(WPBoxUpdates *n)
 {
     g_array_set_size(n->sent_to, 0);
     g_array_set_size(n->sent_ms, 0);
@@ -158,60 +163,62 @@
     g_array_set_size(n->asked_per_min, 0);
 }
 
-/* The longest of two or three lists less the shortest: records without a
-   partner. */
-static unsigned odd(size_t a, size_t b, size_t c)
+/* Returns the number of records without a counterpart in a parallel array: the
+   longest of two or three lengths minus the shortest. */
+static unsigned unpaired_count(size_t a, size_t b, size_t c)
 {
     return (unsigned)(MAX(a, MAX(b, c)) - MIN(a, MIN(b, c)));
 }
 
-typedef void (*HearReading)(WPReplica *s, WPTime now, double reading_us);
+typedef void (*MergePrefill)(WPReplica *s, WPTime now, double prefill_us);
 
-static unsigned hear_reading(WPFleet *f, WPTime now, const uint64_t *at,
-                             const uint32_t *ms, size_t n, HearReading hear)
+static unsigned merge_prefills(WPFleet *f, WPTime now, const uint64_t *at,
+                               const uint32_t *ms, size_t n, MergePrefill merge)
 {
-    unsigned bad = 0;
+    unsigned invalid = 0;
     for (size_t i = 0; i < n; i++) {
         WPReplica *s = wp_fleet_by_hash(f, at[i]);
-        if (ms[i] > READING_MOST_MS)
-            bad++;
+        if (ms[i] > PREFILL_MAX_MS)
+            invalid++;
         else if (s)
-            hear(s, now, (double)ms[i] * WP_US_PER_MS);
+            merge(s, now, (double)ms[i] * WP_US_PER_MS);
     }
-    return bad;
+    return invalid;
 }
 
-static unsigned hear_sent(WPFleet *f, WPTime now, const Wp__BoxNews *m)
+static unsigned merge_sent(WPFleet *f, WPTime now, const Wp__BoxNews *m)
 {
     size_t n = MIN(m->n_sent_to, m->n_sent_ms);
-    return odd(m->n_sent_to, m->n_sent_ms, n) +
-           hear_reading(f, now, m->sent_to, m->sent_ms, n, wp_fleet_merge_sent);
+    return unpaired_count(m->n_sent_to, m->n_sent_ms, n) +
+           merge_prefills(f, now, m->sent_to, m->sent_ms, n,
+                          wp_fleet_merge_sent);
 }
 
-static unsigned hear_began(WPFleet *f, WPTime now, const Wp__BoxNews *m)
+static unsigned merge_first_bytes(WPFleet *f, WPTime now, const Wp__BoxNews *m)
 {
     size_t n = MIN(m->n_began_at, m->n_began_ms);
-    return odd(m->n_began_at, m->n_began_ms, n) +
-           hear_reading(f, now, m->began_at, m->began_ms, n,
-                        wp_fleet_merge_first_byte);
+    return unpaired_count(m->n_began_at, m->n_began_ms, n) +
+           merge_prefills(f, now, m->began_at, m->began_ms, n,
+                          wp_fleet_merge_first_byte);
 }
 
-static unsigned hear_load(WPFleet *f, WPTime now, const Wp__BoxNews *m)
+static unsigned merge_load(WPFleet *f, WPTime now, const Wp__BoxNews *m)
 {
     size_t n = MIN(m->n_load_of, MIN(m->n_load_running, m->n_load_waiting));
-    unsigned bad = odd(m->n_load_of, m->n_load_running, m->n_load_waiting);
+    unsigned invalid =
+        unpaired_count(m->n_load_of, m->n_load_running, m->n_load_waiting);
     for (size_t i = 0; i < n; i++) {
         WPReplica *s = wp_fleet_by_hash(f, m->load_of[i]);
         uint32_t running = m->load_running[i], waiting = m->load_waiting[i];
-        if (running > LOAD_MOST || waiting > LOAD_MOST)
-            bad++;
+        if (running > LOAD_MAX || waiting > LOAD_MAX)
+            invalid++;
         else if (s)
             wp_fleet_merge_load(s, now, running, waiting);
     }
-    return bad;
+    return invalid;
 }
 
-static unsigned hear_kept(WPFleet *f, WPTime now, const Wp__BoxNews *m)
+static unsigned merge_cached(WPFleet *f, WPTime now, const Wp__BoxNews *m)
 {
     size_t n = MIN(m->n_kept_at, MIN(m->n_kept_prefix, m->n_kept_tokens));
     for (size_t i = 0; i < n; i++) {
@@ -219,29 +226,30 @@
                                          m->kept_tokens[i] };
         wp_fleet_merge_cached_prefix(f, now, &k);
     }
-    return odd(m->n_kept_at, m->n_kept_prefix, m->n_kept_tokens);
+    return unpaired_count(m->n_kept_at, m->n_kept_prefix, m->n_kept_tokens);
 }
 
-static unsigned hear_asked(WPFleet *f, WPTime now, const Wp__BoxNews *m)
+static unsigned merge_demand(WPFleet *f, WPTime now, const Wp__BoxNews *m)
 {
     size_t n = MIN(m->n_asked_of, m->n_asked_per_min);
-    unsigned bad = odd(m->n_asked_of, m->n_asked_per_min, n);
+    unsigned invalid = unpaired_count(m->n_asked_of, m->n_asked_per_min, n);
     for (size_t i = 0; i < n; i++) {
-        const WPDemandNews news = { .service = m->asked_of[i],
-                                    .of = m->box,
-                                    .per_min = m->asked_per_min[i] };
-        if (news.per_min > WP_DEMAND_MOST)
-            bad++;
+        const WPDemandNews update = { .service = m->asked_of[i],
+                                      .of = m->box,
+                                      .per_min = m->asked_per_min[i] };
+        if (update.per_min > WP_DEMAND_MOST)
+            invalid++;
         else
-            wp_demand_hear(wp_fleet_demand(f), now, &news);
+            wp_demand_hear(wp_fleet_demand(f), now, &update);
     }
-    return bad;
+    return invalid;
 }
 
-unsigned wp_box_news_hear(WPFleet *f, WPTime now, const Wp__BoxNews *m)
+unsigned wp_box_updates_merge(WPFleet *f, WPTime now, const Wp__BoxNews *m)
 {
-    return hear_sent(f, now, m) + hear_began(f, now, m) + hear_load(f, now, m) +
-           hear_kept(f, now, m) + hear_asked(f, now, m);
+    return merge_sent(f, now, m) + merge_first_bytes(f, now, m) +
+           merge_load(f, now, m) + merge_cached(f, now, m) +
+           merge_demand(f, now, m);
 }
 
 static void free_copy(gpointer m)
@@ -249,21 +257,21 @@
     wp_pb_free(m);
 }
 
-void wp_bundle_init(WPBundle *b)
+void wp_update_batch_init(WPUpdateBatch *b)
 {
-    *b = (WPBundle){ .boxes = g_ptr_array_new_with_free_func(free_copy) };
+    *b = (WPUpdateBatch){ .boxes = g_ptr_array_new_with_free_func(free_copy) };
 }
 
-void wp_bundle_end(WPBundle *b)
+void wp_update_batch_destroy(WPUpdateBatch *b)
 {
     g_ptr_array_unref(b->boxes);
 }
 
-void wp_bundle_add(WPBundle *b, const Wp__BoxNews *m)
+void wp_update_batch_add(WPUpdateBatch *b, const Wp__BoxNews *m)
 {
     size_t records = m->n_sent_to + m->n_began_at + m->n_load_of +
                      m->n_kept_at + m->n_asked_of;
-    if (b->records + records > WP_BUNDLE_MOST) {
+    if (b->records + records > WP_UPDATE_BATCH_MAX) {
         b->dropped++;
         return;
     }
@@ -271,7 +279,7 @@
     g_ptr_array_add(b->boxes, wp_pb_copy(&m->base));
 }
 
-void wp_bundle_fill(const WPBundle *b, Wp__ZoneNews *out)
+void wp_update_batch_fill(const WPUpdateBatch *b, Wp__ZoneNews *out)
 {
     wp__zone_news__init(out);
     out->n_boxes = b->boxes->len;
@@ -280,7 +288,7 @@
     out->passed_on = 1;
 }
 
-void wp_bundle_clear(WPBundle *b)
+void wp_update_batch_reset(WPUpdateBatch *b)
 {
     g_ptr_array_set_size(b->boxes, 0);
     b->records = 0;
--- a/src/wp_check.c
+++ b/src/wp_check.c
@@ -54,9 +54,9 @@
 static bool any_version(const WPPolicy *p, const WPWorkspace *ws)
 {
     for (unsigned k = 0; k < wp_policy_kinds(p); k++) {
-        WPSet set;
+        WPVersionSet set;
         wp_policy_allowed(p, ws, wp_policy_kind_at(p, k), NULL, &set);
-        if (!wp_set_empty(&set))
+        if (!wp_version_set_empty(&set))
             return true;
     }
     return false;
--- a/src/wp_choose.c
+++ b/src/wp_choose.c
@@ -40,7 +40,7 @@
     int best = -1;
     double best_key = 0;
     for (unsigned i = 0; i < wp_policy_versions(c->policy); i++) {
-        if (!wp_set_has(&c->allowed, i) || (test && !test(c, i)))
+        if (!wp_version_set_has(&c->allowed, i) || (test && !test(c, i)))
             continue;
         double k = key(c, i);
         if (best >= 0 && k >= best_key)
@@ -73,7 +73,7 @@
 
 static bool is_qualified_and_free(const WPVersionQuery *c, unsigned i)
 {
-    return is_qualified(c, i) && !wp_set_has(&c->busy, i);
+    return is_qualified(c, i) && !wp_version_set_has(&c->busy, i);
 }
 
 /* The cheapest qualified version (one whose lower quality bound meets the
@@ -112,8 +112,9 @@
         return -1;
     for (unsigned i = 0; i < wp_policy_versions(c->policy); i++) {
         double saving = cost(c, (unsigned)best) - cost(c, i);
-        if (!wp_set_has(&c->allowed, i) || wp_set_has(&c->busy, i) ||
-            is_qualified(c, i) || target_chance(c, i) < EXPLORE_CHANCE)
+        if (!wp_version_set_has(&c->allowed, i) ||
+            wp_version_set_has(&c->busy, i) || is_qualified(c, i) ||
+            target_chance(c, i) < EXPLORE_CHANCE)
             continue;
         if (saving * target_chance(c, i) <= best_gain)
             continue;
@@ -174,11 +175,11 @@
 static WPVersionChoice choose_static(const WPChooser *self,
                                      const WPVersionQuery *c)
 {
-    unsigned n = wp_set_count(&c->allowed);
+    unsigned n = wp_version_set_count(&c->allowed);
     unsigned k = (unsigned)(c->random * n);
     (void)self;
     for (unsigned i = 0; i < wp_policy_versions(c->policy); i++)
-        if (wp_set_has(&c->allowed, i) && k-- == 0)
+        if (wp_version_set_has(&c->allowed, i) && k-- == 0)
             return (WPVersionChoice){ (int)i, -1, false };
     return (WPVersionChoice){ -1, -1, false };
 }
--- a/src/wp_choose.h
+++ b/src/wp_choose.h
@@ -11,8 +11,8 @@
     const WPPolicy *policy;
     const WPKind *kind;
     const WPBound *bounds;  /* from wp_quality_table() */
-    WPSet allowed;          /* versions that may serve the request; not empty */
-    WPSet busy;             /* versions without a free slot now */
+    WPVersionSet allowed;   /* versions that may serve the request; not empty */
+    WPVersionSet busy;      /* versions without a free slot now */
     uint32_t prompt_tokens; /* expected */
     uint32_t answer_tokens; /* expected */
     double random;          /* uniform in [0, 1) */
--- a/src/wp_code.c
+++ b/src/wp_code.c
@@ -1,4 +1,4 @@
-/* The table of outcomes. */
+/* Lookup of request outcomes. */
 #include "wp_code.h"
 
 static const WPCodeInfo infos[] = {
--- a/src/wp_code.h
+++ b/src/wp_code.h
@@ -1,5 +1,6 @@
-/* Outcomes of a request. One table generates the enum, the stable names
-   callers see, the HTTP status, whether the request ran, and the text. */
+/* Outcomes of a request. One table generates the enum, the stable codes that
+ * callers see, the HTTP status, whether the request ran, and the default
+ * message. */
 #ifndef WP_CODE_H
 #define WP_CODE_H
 
@@ -22,44 +23,44 @@
       "the version may not serve this request")                                \
     X(NO_ENDPOINT, "no_endpoint", 503, NOT_RUN, "no endpoint is available")    \
     X(NO_AREA, "no_endpoint_in_area", 503, NOT_RUN,                            \
-      "no endpoint is listed in the areas where this may be served")           \
+      "no endpoint is registered in the areas where this may be served")       \
     X(SESSION_BOUND, "session_bound", 503, NOT_RUN,                            \
-      "the session's version has been replaced; it is free again then")        \
+      "the session is bound to a replaced version until it expires")           \
     X(IN_DOUBT, "request_in_doubt", 503, NOT_RUN,                              \
-      "an endpoint ended under this request; another copy of it runs")         \
+      "an endpoint crashed during this request; another copy is running")      \
     X(KEPT_OUT, "request_kept_out", 503, NOT_RUN,                              \
-      "endpoints ended under this request each time that it ran")              \
+      "quarantined: endpoints crashed each time this request ran")             \
     X(STARTING, "endpoints_starting", 503, NOT_RUN,                            \
-      "the endpoints have just started and take few requests")                 \
+      "the endpoints have just started and accept few requests")               \
     X(LIMITED, "endpoints_limited", 503, NOT_RUN,                              \
-      "the endpoints take few requests at present")                            \
+      "the rate limits of the endpoints are reached")                          \
     X(RESTING, "endpoints_resting", 503, NOT_RUN,                              \
-      "the endpoints have asked for rest")                                     \
+      "the endpoints have asked for back-off")                                 \
     X(OVERLOADED, "overloaded", 429, NOT_RUN, "no capacity at this time")      \
     X(LATE, "deadline_unreachable", 429, NOT_RUN,                              \
       "the deadline cannot be met")                                            \
-    X(LEAVING, "leaving", 503, NOT_RUN, "this box is leaving")                 \
+    X(LEAVING, "leaving", 503, NOT_RUN, "this box is draining")                \
     X(NOT_READY, "not_ready", 503, NOT_RUN, "no configuration yet")            \
     X(STALE, "stale_configuration", 503, NOT_RUN,                              \
       "the configuration is too old for this kind of request")                 \
     X(BILLS_FULL, "bill_backlog", 503, NOT_RUN,                                \
-      "too many bills wait for the store")                                     \
+      "too many bills are waiting to be written to the store")                 \
     X(ONCE_RUNNING, "already_running", 409, RAN,                               \
       "a request with this idempotency key is running")                        \
     X(ONCE_DONE, "already_ran", 409, RAN,                                      \
       "a request with this idempotency key has run")                           \
     X(ONCE_UNKNOWN, "key_unknown", 409, UNKNOWN,                               \
-      "whether this idempotency key has run cannot be known")                  \
+      "it is unknown whether a request with this key has run")                 \
     X(NOT_KEEPER, "not_keeper", 503, NOT_RUN,                                  \
-      "another agent keeps this idempotency key")                              \
+      "another agent owns this idempotency key")                               \
     X(ENDPOINT_DOWN, "endpoint_unreachable", 503, NOT_RUN,                     \
       "the endpoint cannot be reached")                                        \
     X(ENDPOINT_FAILED, "endpoint_failed", 502, UNKNOWN,                        \
       "the endpoint failed during the request")                                \
     X(LINK_LOST, "outcome_unknown", 502, UNKNOWN,                              \
-      "contact was lost after the request was handed over")                    \
+      "the connection was lost after the request was sent")                    \
     X(TIMED_OUT, "deadline_exceeded", 504, UNKNOWN, "the deadline has passed") \
-    X(CANCELLED, "cancelled", 499, UNKNOWN, "the caller has gone")             \
+    X(CANCELLED, "cancelled", 499, UNKNOWN, "the caller disconnected")         \
     X(HEAD_TOO_LARGE, "head_too_large", 431, NOT_RUN,                          \
       "the head of the request is too large")                                  \
     X(HEAD_SLOW, "head_too_slow", 408, NOT_RUN,                                \
@@ -73,7 +74,7 @@
         WP_CODE_COUNT
 } WPCode;
 
-/* Values equal those of the wire's Ran. */
+/* Whether a request ran at an endpoint. Values equal those of Wp__Ran. */
 typedef enum WPRan { WP_RAN_NOT_RUN, WP_RAN_RAN, WP_RAN_UNKNOWN } WPRan;
 
 typedef struct WPCodeInfo {
@@ -83,16 +84,19 @@
     const char *text;
 } WPCodeInfo;
 
-/* Never NULL; an unknown number gives WP_ENDPOINT_FAILED's row. */
+/* Returns the table row of `code`, never NULL; an unknown code gives the row of
+   WP_ENDPOINT_FAILED. */
 const WPCodeInfo *wp_code_info(unsigned code);
+
+/* Returns the name of `ran` that callers see. */
 const char *wp_ran_name(WPRan ran);
 
-/* GError's domain; its codes are of WPErrorCode. */
+/* GError domain of the project; its codes are those of WPErrorCode. */
 #define WP_ERROR (g_quark_from_static_string("workspoint"))
 typedef enum WPErrorCode {
-    WP_ERROR_INPUT,    /* what was given is wrong */
-    WP_ERROR_CONFLICT, /* somebody else changed it first */
-    WP_ERROR_CONTACT,  /* the other side could not be reached */
+    WP_ERROR_INPUT,    /* invalid input */
+    WP_ERROR_CONFLICT, /* the object was changed concurrently */
+    WP_ERROR_CONTACT,  /* the remote side could not be reached */
     WP_ERROR_INTERNAL
 } WPErrorCode;
 
--- a/src/wp_config.c
+++ b/src/wp_config.c
@@ -5,13 +5,13 @@
 struct WPConfig {
     uint64_t revision;
     GTree *objects; /* key -> Wp__Object */
-    GQueue history; /* of Past, oldest first */
+    GQueue history; /* of HistoryEntry, oldest first */
 };
 
-typedef struct Past {
+typedef struct HistoryEntry {
     uint64_t prev, revision;
-    GBytes *packed;
-} Past;
+    GBytes *serialized;
+} HistoryEntry;
 
 static gint compare_keys(gconstpointer a, gconstpointer b, gpointer arg)
 {
@@ -19,11 +19,11 @@
     return strcmp(a, b);
 }
 
-static void free_past(gpointer p)
+static void free_history_entry(gpointer p)
 {
-    Past *past = p;
-    g_bytes_unref(past->packed);
-    g_free(past);
+    HistoryEntry *entry = p;
+    g_bytes_unref(entry->serialized);
+    g_free(entry);
 }
 
 WPConfig *wp_config_new(void)
@@ -39,7 +39,7 @@
     if (!c)
         return;
     g_tree_unref(c->objects);
-    g_queue_clear_full(&c->history, free_past);
+    g_queue_clear_full(&c->history, free_history_entry);
     g_free(c);
 }
 
@@ -48,7 +48,8 @@
     return c->revision;
 }
 
-/* Decodes all values first, so that a bad change leaves nothing half done. */
+/* Decodes all values before any is stored, so that an invalid change is not
+   applied in part. */
 static bool decode_ops(Wp__Op **ops, size_t n, Wp__Object **out)
 {
     for (size_t i = 0; i < n; i++) {
@@ -79,35 +80,35 @@
     return true;
 }
 
-static void remember(WPConfig *c, const Wp__Delta *d)
+static void append_history(WPConfig *c, const Wp__Delta *d)
 {
     GByteArray *b = wp_pb_pack(&d->base);
-    Past *past = g_new0(Past, 1);
-    past->prev = d->prev;
-    past->revision = d->revision;
-    past->packed = g_byte_array_free_to_bytes(b);
-    g_queue_push_tail(&c->history, past);
+    HistoryEntry *entry = g_new0(HistoryEntry, 1);
+    entry->prev = d->prev;
+    entry->revision = d->revision;
+    entry->serialized = g_byte_array_free_to_bytes(b);
+    g_queue_push_tail(&c->history, entry);
     if (c->history.length > WP_CONFIG_HISTORY)
-        free_past(g_queue_pop_head(&c->history));
+        free_history_entry(g_queue_pop_head(&c->history));
 }
 
-WPApply wp_config_apply(WPConfig *c, const Wp__Delta *d)
+WPApplyResult wp_config_apply(WPConfig *c, const Wp__Delta *d)
 {
     if (d->revision <= c->revision)
-        return WP_APPLY_OLD;
+        return WP_APPLY_STALE;
     if (d->prev != c->revision)
         return WP_APPLY_GAP;
     if (!store_ops(c, d->ops, d->n_ops))
         return WP_APPLY_BAD;
     c->revision = d->revision;
-    remember(c, d);
+    append_history(c, d);
     return WP_APPLY_DONE;
 }
 
-WPApply wp_config_replace(WPConfig *c, const Wp__Snapshot *s)
+WPApplyResult wp_config_apply_snapshot(WPConfig *c, const Wp__Snapshot *s)
 {
     if (s->revision <= c->revision)
-        return WP_APPLY_OLD;
+        return WP_APPLY_STALE;
     GTree *old = c->objects;
     c->objects = g_tree_new_full(compare_keys, NULL, g_free, wp_pb_free);
     if (!store_ops(c, s->ops, s->n_ops)) {
@@ -116,7 +117,7 @@
         return WP_APPLY_BAD;
     }
     g_tree_unref(old);
-    g_queue_clear_full(&c->history, free_past);
+    g_queue_clear_full(&c->history, free_history_entry);
     c->revision = s->revision;
     return WP_APPLY_DONE;
 }
@@ -141,15 +142,15 @@
     return s;
 }
 
-GPtrArray *wp_config_since(const WPConfig *c, uint64_t have)
+GPtrArray *wp_config_deltas_since(const WPConfig *c, uint64_t have)
 {
     GPtrArray *out = NULL;
     for (GList *l = c->history.head; l; l = l->next) {
-        const Past *past = l->data;
-        if (!out && past->prev == have)
+        const HistoryEntry *entry = l->data;
+        if (!out && entry->prev == have)
             out = g_ptr_array_new();
         if (out)
-            g_ptr_array_add(out, past->packed);
+            g_ptr_array_add(out, entry->serialized);
     }
     return out;
 }
@@ -179,7 +180,7 @@
     g_tree_foreach(c->objects, call_each, &e);
 }
 
-/* Every spec's message has its name as the first field. */
+/* The first field of every spec's message is its name. */
 char *wp_object_key(const Wp__Object *o)
 {
     for (unsigned i = 0; i < o->base.descriptor->n_fields; i++) {
@@ -229,7 +230,7 @@
         g_ptr_array_add(ops, wp_op_put(&o));                                   \
     }
 
-GPtrArray *wp_rules_ops(const Wp__Rules *r)
+GPtrArray *wp_rules_to_ops(const Wp__Rules *r)
 {
     GPtrArray *ops = g_ptr_array_new();
     ADD(models, model, MODEL)
--- a/src/wp_config.h
+++ b/src/wp_config.h
@@ -1,5 +1,5 @@
-/* The operators' configuration as every box holds it: objects by key
- * (KIND/NAME) at one revision. A revision never goes back. */
+/* The operators' configuration as replicated to every box: objects by key
+ * (KIND/NAME) at one revision. The revision never decreases. */
 #ifndef WP_CONFIG_H
 #define WP_CONFIG_H
 
@@ -8,46 +8,54 @@
 
 typedef struct WPConfig WPConfig;
 
-typedef enum WPApply {
-    WP_APPLY_DONE, /* the revision went up */
-    WP_APPLY_OLD,  /* already known */
-    WP_APPLY_GAP,  /* an earlier change is missing: ask for what is missing */
-    WP_APPLY_BAD   /* cannot be decoded */
-} WPApply;
+typedef enum WPApplyResult {
+    WP_APPLY_DONE,  /* applied; the revision has increased */
+    WP_APPLY_STALE, /* not newer than the current revision */
+    WP_APPLY_GAP,   /* an earlier change is missing and must be requested */
+    WP_APPLY_BAD    /* cannot be decoded */
+} WPApplyResult;
 
-/* How many changes are kept for boxes that are a little behind. */
+/* Number of recent changes kept, so that boxes that lag a little behind can be
+   brought up to date without a full copy. */
 enum { WP_CONFIG_HISTORY = 64 };
 
 WPConfig *wp_config_new(void);
 void wp_config_free(WPConfig *c);
 uint64_t wp_config_revision(const WPConfig *c); /* 0: none yet */
 
-WPApply wp_config_apply(WPConfig *c, const Wp__Delta *d);
+/* Applies one change. `c` is unchanged unless WP_APPLY_DONE is returned. */
+WPApplyResult wp_config_apply(WPConfig *c, const Wp__Delta *d);
 
-/* Takes a full copy when its revision is higher. */
-WPApply wp_config_replace(WPConfig *c, const Wp__Snapshot *s);
+/* Replaces all objects by those of a full copy if its revision is higher. `c`
+   is unchanged unless WP_APPLY_DONE is returned. */
+WPApplyResult wp_config_apply_snapshot(WPConfig *c, const Wp__Snapshot *s);
 
-/* Full copy; free with wp_pb_free(). */
+/* Returns a full copy; free with wp_pb_free(). */
 Wp__Snapshot *wp_config_snapshot(const WPConfig *c);
 
-/* Packed deltas that lead from `have` to the present revision, as GBytes in
-   order; NULL when history does not reach back that far. */
-GPtrArray *wp_config_since(const WPConfig *c, uint64_t have);
+/* Returns the serialized deltas that lead from revision `have` to the current
+   one, as GBytes owned by `c`, oldest first; NULL if the history does not reach
+   back to `have`. Free with g_ptr_array_unref(). */
+GPtrArray *wp_config_deltas_since(const WPConfig *c, uint64_t have);
 
-/* Decoded object, owned by `c`, or NULL. */
+/* Returns the object of `key`, owned by `c`, or NULL. */
 const Wp__Object *wp_config_get(const WPConfig *c, const char *key);
 
-/* Calls `fn` for each object in key order. */
+/* Calls `fn` with `arg` for each object in the order of the keys. */
 void wp_config_each(const WPConfig *c,
                     void (*fn)(void *arg, const char *key, const Wp__Object *o),
                     void *arg);
 
-/* KIND/NAME of an object; free with g_free(); NULL if it holds none. */
+/* Returns the key KIND/NAME of an object, to be freed with g_free(); NULL if
+   the object has no spec. */
 char *wp_object_key(const Wp__Object *o);
 
-/* One put operation per object in a rules file; free with
+/* Returns one put operation (Wp__Op) for each object of a rules file; free with
    wp_ops_free(). */
-GPtrArray *wp_rules_ops(const Wp__Rules *r);
+GPtrArray *wp_rules_to_ops(const Wp__Rules *r);
+
+/* Returns an operation that stores an object or deletes a key; free with
+   wp_pb_free(). */
 Wp__Op *wp_op_put(const Wp__Object *o);
 Wp__Op *wp_op_delete(const char *key);
 void wp_ops_free(GPtrArray *ops);
--- a/src/wp_counters.c
+++ b/src/wp_counters.c
@@ -1,4 +1,4 @@
-/* Counters, histograms and their text form. */
+/* Counters, histograms and their text format. */
 #include "wp_counters.h"
 #include "wp_code.h"
 
@@ -82,7 +82,7 @@
                                    "wp_outcomes_total{%s,code=\"%s\"} %lu\n",
                                    labels, wp_code_info(i)->code, c->codes[i]);
     histogram_text(&c->first_token, "first_token", labels, out);
-    histogram_text(&c->gap, "longest_gap", labels, out);
-    histogram_text(&c->whole, "whole_answer", labels, out);
+    histogram_text(&c->longest_gap, "longest_gap", labels, out);
+    histogram_text(&c->whole_answer, "whole_answer", labels, out);
     histogram_text(&c->decision, "decision", labels, out);
 }
--- a/src/wp_counters.h
+++ b/src/wp_counters.h
@@ -1,4 +1,5 @@
-/* Counters and log-spaced histograms of one process, in Prometheus text. */
+/* Counters and logarithmic histograms of one process, exported in the
+ * Prometheus text format. */
 #ifndef WP_COUNTERS_H
 #define WP_COUNTERS_H
 
@@ -7,51 +8,52 @@
 /* X(name, metric name, help) */
 #define WP_COUNTER_LIST(X)                                                     \
     X(REQUESTS, "requests_total", "requests received")                         \
-    X(ANSWERED, "answered_total", "requests answered whole")                   \
+    X(ANSWERED, "answered_total", "requests answered completely")              \
     X(REFUSED, "refused_total", "requests refused")                            \
-    X(FAILED, "failed_total", "requests that failed after a start")            \
+    X(FAILED, "failed_total", "requests that failed and may have run")         \
     X(RETRIES, "retries_total", "second and later attempts")                   \
     X(ESCALATIONS, "escalations_total", "cascade steps to a stronger version") \
-    X(CALLERS_GONE, "callers_gone_total", "callers that left early")           \
+    X(CALLERS_GONE, "callers_gone_total", "callers that disconnected early")   \
     X(BAD_INPUT, "bad_input_total", "malformed requests")                      \
     X(BAD_FRAMES, "bad_frames_total", "malformed frames, links closed")        \
     X(STARTS, "starts_total", "requests started at the endpoint")              \
-    X(BILLS, "bills_total", "bills made")                                      \
-    X(BILLS_SETTLED, "bills_settled_total", "bills in the store")              \
+    X(BILLS, "bills_total", "bills created")                                   \
+    X(BILLS_SETTLED, "bills_settled_total",                                    \
+      "bills confirmed written to the store")                                  \
     X(BILLS_TAKEN, "bills_taken_over_total", "bills of dead agents written")   \
-    X(STORE_READS, "store_reads_total", "reads asked of the store")            \
-    X(STORE_WRITES, "store_writes_total", "writes asked of the store")         \
+    X(STORE_READS, "store_reads_total", "reads requested from the store")      \
+    X(STORE_WRITES, "store_writes_total", "writes requested from the store")   \
     X(STORE_ERRORS, "store_errors_total", "store calls that failed")           \
-    X(CONFIG_CHANGES, "config_changes_total", "changes taken")                 \
+    X(CONFIG_CHANGES, "config_changes_total", "configuration changes applied") \
     X(BAD_ENTRIES, "bad_entries_total",                                        \
-      "entries of the store that cannot be read or be true")                   \
+      "store entries that are malformed or invalid")                           \
     X(GOSSIP_SENT, "gossip_sent_total", "messages to other boxes")             \
     X(GOSSIP_BYTES, "gossip_bytes_total", "bytes to other boxes")              \
-    X(EJECTIONS, "ejections_total", "endpoints set aside")                     \
-    X(EXPLORED, "explored_total", "requests sent to learn quality")            \
+    X(EJECTIONS, "ejections_total", "endpoints ejected")                       \
+    X(EXPLORED, "explored_total", "requests sent to explore quality")          \
     X(SESSIONS_MOVED, "sessions_moved_total",                                  \
-      "turns of sessions whose version may not serve them any more")           \
-    X(ROLLOUT_STEPS, "rollout_steps_total", "roll-out changes written")        \
+      "session turns moved as their version may no longer serve them")         \
+    X(ROLLOUT_STEPS, "rollout_steps_total", "rollout changes written")         \
     X(STOPS, "automatic_stops_total", "versions withdrawn automatically")      \
     X(MOVE_RECORDS, "move_records_total",                                      \
-      "records of what was seen of a move, written")                           \
+      "records of the observations of a shift, written")                       \
     X(MOVE_WAITS, "move_waits_total",                                          \
-      "times that a move's next stage waited for answers")                     \
+      "times that the next stage of a shift waited for answers")               \
     X(ENDED_UNDER, "endpoints_ended_under_total",                              \
-      "connections that ended under a request")                                \
+      "endpoint connections that ended during a request")                      \
     X(SUSPECTS_CLEARED, "suspects_cleared_total",                              \
-      "requests in doubt that ended whole")                                    \
+      "suspect requests that completed")                                       \
     X(HELD, "requests_held_total",                                             \
-      "requests that waited for the routes of a box that starts")              \
+      "requests held until a starting box had its routes")                     \
     X(CUT_UNREAD, "callers_cut_unread_total",                                  \
-      "callers cut off as they read nothing while too much was held")          \
-    X(REPORTS, "usage_reports_total", "reports of usage that were taken")      \
+      "callers disconnected for not reading while too much was buffered")      \
+    X(REPORTS, "usage_reports_total", "usage reports accepted")                \
     X(REPORTS_FAILED, "usage_reports_failed_total",                            \
-      "calls with a report that was not taken")                                \
+      "calls with a usage report that was not accepted")                       \
     X(REPORTS_MISSED, "usage_windows_missed_total",                            \
-      "windows of usage that nobody was told of in time")                      \
+      "usage windows that were not reported in time")                          \
     X(FAILS_LOADED, "fails_loaded_total",                                      \
-      "versions found to fail on half-full endpoints")
+      "versions found to fail on endpoints that are half full")
 
 typedef enum WPCounter {
 #define X(name, metric, help) WP_C_##name,
@@ -60,7 +62,8 @@
         WP_COUNTER_COUNT
 } WPCounter;
 
-/* Log-spaced: four buckets an octave from 1 us, so within 19 in 100. */
+/* Four buckets per power of two, from 1 us: successive edges differ by 19 % in
+   the mean and by 25 % at most. */
 enum { WP_HISTOGRAM_BUCKETS = 128 };
 
 typedef struct WPHistogram {
@@ -69,17 +72,19 @@
     double sum; /* microseconds */
 } WPHistogram;
 
+/* Adds one duration in microseconds. */
 void wp_histogram_add(WPHistogram *h, int64_t us);
 
-/* Upper edge in microseconds of the bucket that holds quantile `q`; 0 when
-   the histogram is empty. */
+/* Returns the upper edge, in microseconds, of the bucket that holds quantile
+   `q` (0 to 1); 0 if the histogram is empty. */
 double wp_histogram_quantile(const WPHistogram *h, double q);
 
 typedef struct WPCounters {
     uint64_t value[WP_COUNTER_COUNT];
     uint64_t codes[64]; /* final outcomes by WPCode */
-    WPHistogram first_token, whole, decision;
-    WPHistogram gap; /* the longest between two events, of each stream */
+    WPHistogram first_token, whole_answer, decision;
+    WPHistogram longest_gap; /* longest time between two events of a stream, for
+                                each stream */
 } WPCounters;
 
 static inline void wp_count(WPCounters *c, WPCounter which)
@@ -87,7 +92,8 @@
     c->value[which]++;
 }
 
-/* Appends Prometheus text; `labels` like `box="e1"`. */
+/* Appends all metrics to `out` in the Prometheus text format. `labels`, such as
+   `box="e1"`, are added to each sample. */
 void wp_counters_text(const WPCounters *c, const char *labels, GString *out);
 
 #endif
--- a/src/wp_direct.h
+++ b/src/wp_direct.h
@@ -13,7 +13,7 @@
 #include "wp_notice.h"
 #include "wp_route.h"
 #include "wp_shift.h"
-#include "wp_start.h"
+#include "wp_startup.h"
 #include "wp_suspects.h"
 
 typedef struct WPDirectRules {
@@ -36,7 +36,7 @@
     struct WPUsage *usage; /* what is to be reported is counted there; its
                               maker's, NULL: nothing is */
     WPCounters counters;
-    WPStart start;
+    WPStartup start;
     unsigned boxes;       /* entries that share the retry budget */
     GHashTable *budgets;  /* service -> WPBudget */
     GHashTable *sessions; /* hash -> which version served it, and when */
--- a/src/wp_entry.c
+++ b/src/wp_entry.c
@@ -89,7 +89,8 @@
     g_free(e->bounds);
     e->bounds = wp_quality_table(wp_node_quality(e->node), e->policy);
     wp_pools_rebuild(e, now);
-    wp_bills_set_writers(e->bills, wp_members_live(wp_node_members(e->node)));
+    wp_bills_set_writers(e->bills,
+                         wp_members_live_count(wp_node_members(e->node)));
     wp_entry_take_over(e, now);
 }
 
@@ -167,7 +168,7 @@
     c->codes[code]++;
     if (code == WP_OK) {
         wp_count(c, WP_C_ANSWERED);
-        wp_histogram_add(&c->whole, now.mono_us - r->begun_us);
+        wp_histogram_add(&c->whole_answer, now.mono_us - r->begun_us);
         wp_events_add(wp_node_events(e->node), now, WP_EVENT_ENDED, r->id, "%s",
                       r->version);
         return;
--- a/src/wp_entry.h
+++ b/src/wp_entry.h
@@ -49,9 +49,9 @@
     bool sent, accepted, answered; /* of the present leg */
     bool passed_on;                /* the caller has got part of the answer */
     bool maybe_ran;                /* some leg ran, or may have */
-    bool agent_bills; /* an agent has made the bill of the last leg */
-    WPSet allowed;    /* versions, at the revision the plan was made */
-    WPSet full;       /* versions that had no room for it */
+    bool agent_bills;     /* an agent has made the bill of the last leg */
+    WPVersionSet allowed; /* versions, at the revision the plan was made */
+    WPVersionSet full;    /* versions that had no room for it */
     WPCode last_refusal;
     uint32_t last_retry_ms;
 } WPRequest;
--- a/src/wp_events.c
+++ b/src/wp_events.c
@@ -1,4 +1,4 @@
-/* The ring of events and its hybrid logical clock. */
+/* Ring buffer of events with a hybrid logical clock. */
 #include "wp_events.h"
 
 #include <stdio.h>
@@ -7,14 +7,14 @@
     uint64_t clock;
     WPEventKind kind;
     char request[40];
-    char text[WP_EVENT_TEXT];
+    char text[WP_EVENT_TEXT_SIZE];
 } Event;
 
 struct WPEvents {
     char *box;
     uint64_t clock;
-    uint64_t count; /* ever added */
-    Event ring[WP_EVENTS_KEPT];
+    uint64_t count; /* events added since the start */
+    Event ring[WP_EVENTS_CAPACITY];
 };
 
 static const char *const kind_names[] = {
@@ -38,14 +38,14 @@
     g_free(e);
 }
 
-uint64_t wp_events_clock(WPEvents *e, WPTime now)
+uint64_t wp_events_next_clock(WPEvents *e, WPTime now)
 {
     uint64_t wall = (uint64_t)now.wall_ms << 16;
     e->clock = MAX(e->clock + 1, wall);
     return e->clock;
 }
 
-void wp_events_seen(WPEvents *e, uint64_t clock)
+void wp_events_merge_clock(WPEvents *e, uint64_t clock)
 {
     e->clock = MAX(e->clock, clock);
 }
@@ -53,9 +53,9 @@
 void wp_events_add(WPEvents *e, WPTime now, WPEventKind kind,
                    const char *request, const char *format, ...)
 {
-    Event *v = &e->ring[e->count++ % WP_EVENTS_KEPT];
+    Event *v = &e->ring[e->count++ % WP_EVENTS_CAPACITY];
     va_list ap;
-    v->clock = wp_events_clock(e, now);
+    v->clock = wp_events_next_clock(e, now);
     v->kind = kind;
     g_strlcpy(v->request, request ? request : "", sizeof(v->request));
     va_start(ap, format);
@@ -63,12 +63,12 @@
     va_end(ap);
 }
 
-json_t *wp_events_json(const WPEvents *e, const char *request, unsigned most)
+json_t *wp_events_json(const WPEvents *e, const char *request, unsigned max)
 {
     json_t *out = json_array();
-    uint64_t kept = MIN(e->count, WP_EVENTS_KEPT);
-    for (uint64_t i = e->count - MIN(kept, most); i < e->count; i++) {
-        const Event *v = &e->ring[i % WP_EVENTS_KEPT];
+    uint64_t stored = MIN(e->count, WP_EVENTS_CAPACITY);
+    for (uint64_t i = e->count - MIN(stored, max); i < e->count; i++) {
+        const Event *v = &e->ring[i % WP_EVENTS_CAPACITY];
         if (request && strcmp(request, v->request))
             continue;
         json_array_append_new(out,
--- a/src/wp_events.h
+++ b/src/wp_events.h
@@ -1,6 +1,6 @@
-/* A ring of what happened in one process, stamped by a hybrid logical clock
- * so that `wpctl timeline` can merge the rings of all processes. Nothing is
- * sent unless somebody asks. */
+/* Ring buffer of the events of one process, stamped by a hybrid logical clock
+ * so that `wpctl timeline` can merge the buffers of all processes. Events leave
+ * the process only on request. */
 #ifndef WP_EVENTS_H
 #define WP_EVENTS_H
 
@@ -8,7 +8,7 @@
 
 #include <jansson.h>
 
-enum { WP_EVENT_TEXT = 96, WP_EVENTS_KEPT = 4096 };
+enum { WP_EVENT_TEXT_SIZE = 96, WP_EVENTS_CAPACITY = 4096 };
 
 /* X(name, text) */
 #define WP_EVENT_KINDS(X)                                                      \
@@ -41,19 +41,22 @@
 WPEvents *wp_events_new(const char *box);
 void wp_events_free(WPEvents *e);
 
-/* The clock's value after an event of this process now: Unix milliseconds in
-   the upper 48 bits, a counter below. */
-uint64_t wp_events_clock(WPEvents *e, WPTime now);
+/* Advances the clock for an event that happens now, and returns it: Unix
+   milliseconds in the upper 48 bits, a counter in the lower 16. */
+uint64_t wp_events_next_clock(WPEvents *e, WPTime now);
 
-/* Takes in the clock of a message, so that effects sort behind causes. */
-void wp_events_seen(WPEvents *e, uint64_t clock);
+/* Advances the clock to at least that of a received message, so that effects
+   sort after their causes. */
+void wp_events_merge_clock(WPEvents *e, uint64_t clock);
 
+/* Adds an event with a formatted text; the oldest one is overwritten if the
+   buffer is full. `request` is the id of the request concerned, or NULL. */
 void wp_events_add(WPEvents *e, WPTime now, WPEventKind kind,
                    const char *request, const char *format, ...)
     G_GNUC_PRINTF(5, 6);
 
-/* The newest `most` events, oldest first, as a JSON array; those of one
-   request only when `request` is given. */
-json_t *wp_events_json(const WPEvents *e, const char *request, unsigned most);
+/* Returns the newest `max` events, oldest first, as a JSON array; if `request`
+   is given, only those of them that concern this request. */
+json_t *wp_events_json(const WPEvents *e, const char *request, unsigned max);
 
 #endif
--- a/src/wp_fleet.c
+++ b/src/wp_fleet.c
@@ -144,7 +144,7 @@
     wp_pace_boxes_set(&f->boxes, self, others, n, min);
 }
 
-static WPReplica *add(WPFleet *f, const WPListing *l)
+static WPReplica *add(WPFleet *f, const WPRegistryEntry *l)
 {
     WPReplica *s = g_new0(WPReplica, 1);
     s->refs = 1;
@@ -191,12 +191,12 @@
 }
 
 /* Whether the entry is from an earlier start than the one that is known. */
-static bool is_outdated(const WPReplica *s, const WPListing *l)
+static bool is_outdated(const WPReplica *s, const WPRegistryEntry *l)
 {
     return l->born_ms && l->born_ms < s->started_ms;
 }
 
-static bool is_new_incarnation(const WPReplica *s, const WPListing *l)
+static bool is_new_incarnation(const WPReplica *s, const WPRegistryEntry *l)
 {
     return l->born_ms > s->started_ms || strcmp(s->addr, l->addr) ||
            strcmp(s->zone, l->zone) || strcmp(s->service, l->service);
@@ -204,7 +204,7 @@
 
 /* Takes a new registry entry of the same incarnation; returns true if it
    changes what is known. */
-static bool update(WPFleet *f, WPReplica *s, const WPListing *l)
+static bool update(WPFleet *f, WPReplica *s, const WPRegistryEntry *l)
 {
     bool other_version = strcmp(s->version, l->version) != 0;
     bool changed = other_version ||
@@ -220,7 +220,7 @@
     return changed;
 }
 
-bool wp_fleet_put(WPFleet *f, WPTime now, const WPListing *l)
+bool wp_fleet_put(WPFleet *f, WPTime now, const WPRegistryEntry *l)
 {
     WPReplica *s = wp_fleet_find(f, l->id);
     if (!f->start_us)
--- a/src/wp_fleet.h
+++ b/src/wp_fleet.h
@@ -7,7 +7,7 @@
 
 #include "wp_demand.h"
 #include "wp_latency.h"
-#include "wp_listing.h"
+#include "wp_registry_entry.h"
 #include "wp_notice.h"
 #include "wp_pace.h"
 #include "wp_pause.h"
@@ -140,7 +140,7 @@
 } WPFleetRules;
 
 typedef struct WPFleet WPFleet;
-struct WPBoxNews;
+struct WPBoxUpdates;
 
 /* Returns a new fleet without endpoints; `seed` is of its random choices.
    wp_fleet_set_rules() sets the weights, which are copied. */
@@ -148,11 +148,11 @@
 void wp_fleet_free(WPFleet *f);
 void wp_fleet_set_rules(WPFleet *f, const WPFleetRules *rules);
 
-/* Takes a registry entry that wp_listing_problem() accepts; returns true if it
-   changes what is known. An entry with a later start, or another address, zone
-   or service, is of a new incarnation, which starts with new state. An entry
-   with an earlier start is outdated and ignored. */
-bool wp_fleet_put(WPFleet *f, WPTime now, const WPListing *l);
+/* Takes a registry entry that wp_registry_entry_invalid_field() accepts;
+   returns true if it changes what is known. An entry with a later start, or
+   another address, zone or service, is of a new incarnation, which starts with
+   new state. An entry with an earlier start is outdated and ignored. */
+bool wp_fleet_put(WPFleet *f, WPTime now, const WPRegistryEntry *l);
 
 /* The endpoint's registry entry cannot be read: nothing is sent to it until it
    can be. */
@@ -466,7 +466,7 @@
 
 /* wp_fleet_updates.c: state that the boxes of a zone share. Sets where updates
    for the other boxes are collected; NULL: nowhere. */
-void wp_fleet_set_updates(WPFleet *f, struct WPBoxNews *updates);
+void wp_fleet_set_updates(WPFleet *f, struct WPBoxUpdates *updates);
 
 /* Finds an endpoint by the hash of its incarnation, or of its id, as sent by
    boxes that do not know incarnations; NULL: not known. */
--- a/src/wp_fleet_int.h
+++ b/src/wp_fleet_int.h
@@ -55,7 +55,7 @@
     GRand *rand;
     WPFleetRules rules;
     /* For the boxes of the zone; NULL: none collected. */
-    struct WPBoxNews *updates;
+    struct WPBoxUpdates *updates;
 };
 
 /* wp_fleet_learn.c: the endpoint may have restarted, and may be cold until the
--- a/src/wp_fleet_learn.c
+++ b/src/wp_fleet_learn.c
@@ -1,5 +1,5 @@
 /* Endpoint state learned from how this box's own requests end. */
-#include "wp_box_news.h"
+#include "wp_box_updates.h"
 #include "wp_fleet_int.h"
 
 enum {
@@ -171,7 +171,7 @@
     if (f->unsent_prefixes->len < UNSENT_MAX)
         g_array_append_val(f->unsent_prefixes, n);
     if (f->updates)
-        wp_box_news_kept(f->updates, &n);
+        wp_box_updates_add_cached(f->updates, &n);
 }
 
 size_t wp_fleet_take_unsent_prefixes(WPFleet *f, WPCachedPrefixUpdate *out,
@@ -216,7 +216,8 @@
 {
     s->own_queued_prefill_us = MAX(0, s->own_queued_prefill_us - prefill_us);
     if (f->updates)
-        wp_box_news_began(f->updates, s->incarnation_hash, prefill_us);
+        wp_box_updates_add_first_byte(f->updates, s->incarnation_hash,
+                                      prefill_us);
     if (expected_us <= 0)
         return;
     double ratio = (double)took_us / (double)expected_us;
--- a/src/wp_fleet_updates.c
+++ b/src/wp_fleet_updates.c
@@ -1,5 +1,5 @@
 /* Endpoint state that the boxes of a zone send each other. */
-#include "wp_box_news.h"
+#include "wp_box_updates.h"
 #include "wp_fleet_int.h"
 
 /* Upper bound of the age of another box's load report: two batching intervals
@@ -19,7 +19,7 @@
    in this time. */
 #define COHORT_INTERVAL_US (20 * WP_US_PER_MS)
 
-void wp_fleet_set_updates(WPFleet *f, WPBoxNews *updates)
+void wp_fleet_set_updates(WPFleet *f, WPBoxUpdates *updates)
 {
     f->updates = updates;
 }
@@ -32,7 +32,7 @@
 void wp_fleet_add_sent_update(WPFleet *f, const WPReplica *s, double prefill_us)
 {
     if (f->updates)
-        wp_box_news_sent(f->updates, s->incarnation_hash, prefill_us);
+        wp_box_updates_add_sent(f->updates, s->incarnation_hash, prefill_us);
 }
 
 void wp_fleet_record_load(WPFleet *f, WPReplica *s, WPTime now,
@@ -40,7 +40,8 @@
 {
     wp_fleet_set_load(s, now, running, waiting, slots);
     if (f->updates)
-        wp_box_news_load(f->updates, s->incarnation_hash, running, waiting);
+        wp_box_updates_add_load(f->updates, s->incarnation_hash, running,
+                                waiting);
 }
 
 /* Prefill time of other boxes' requests that is left by now. */
--- a/src/wp_flow.c
+++ b/src/wp_flow.c
@@ -137,9 +137,9 @@
 {
     const WPCaller *c;
     f->priority = f->route->priority;
-    if (!d->routes->keyed || f->route->anonymous)
+    if (!d->routes->requires_keys || f->route->anonymous)
         return WP_OK;
-    c = ask->key.n ? wp_routes_caller(d->routes, ask->key) : NULL;
+    c = ask->key.n ? wp_routes_caller_by_key(d->routes, ask->key) : NULL;
     if (!c)
         return WP_NO_KEY;
     f->workspace = c->workspace;
@@ -161,7 +161,8 @@
     WPCode code = check_caller(d, f, ask);
     if (code != WP_OK)
         return code;
-    f->service = wp_route_pick(d->routes, f->route, g_rand_double(d->rand));
+    f->service =
+        wp_route_pick_service(d->routes, f->route, g_rand_double(d->rand));
     return f->service ? WP_OK : WP_NO_ENDPOINT;
 }
 
@@ -267,7 +268,7 @@
 static uint32_t when_to_come_back(const WPDirect *d, WPCode code)
 {
     if (code == WP_NOT_READY)
-        return d->start.store_away ? AWAY_MS : STARTING_MS;
+        return d->start.store_unavailable ? AWAY_MS : STARTING_MS;
     return code == WP_NO_ENDPOINT ? NO_ENDPOINT_MS : 0;
 }
 
@@ -325,7 +326,7 @@
     f->unit = wp_direct_unit(f->session ? f->session : wp_hash(ask->id, 0));
     wp_count(&d->counters, WP_C_REQUESTS);
     uint32_t hold_ms =
-        d->routes ? 0 : wp_start_hold_ms(&d->start, now, ask->deadline_ms);
+        d->routes ? 0 : wp_startup_hold_ms(&d->start, now, ask->deadline_ms);
     if (hold_ms)
         *out = (WPMove){ .kind = WP_MOVE_HOLD, .retry_ms = hold_ms };
     else
@@ -412,7 +413,7 @@
         return;
     }
     wp_flow_note_first(f, now);
-    if (failed || f->route->repeat != WP_REPEAT_STREAM)
+    if (failed || f->route->retry_policy != WP_RETRY_STREAM)
         wp_flow_judge(f, failed,
                       failed ? WP_TIME_UNKNOWN
                              : wp_flow_judge_time(
@@ -503,9 +504,9 @@
     if (wp_suspects_completed(f->d->suspects, now, f->hash))
         wp_count(&f->d->counters, WP_C_SUSPECTS_CLEARED);
     wp_count(&f->d->counters, WP_C_ANSWERED);
-    wp_histogram_add(&f->d->counters.whole, now.mono_us - f->start_us);
+    wp_histogram_add(&f->d->counters.whole_answer, now.mono_us - f->start_us);
     if (f->gap_us)
-        wp_histogram_add(&f->d->counters.gap, f->gap_us);
+        wp_histogram_add(&f->d->counters.longest_gap, f->gap_us);
 }
 
 void wp_flow_left(WPFlow *f, WPTime now)
--- a/src/wp_flow_head.c
+++ b/src/wp_flow_head.c
@@ -30,7 +30,7 @@
    better answer is the same request. */
 static void note_usage(WPFlow *f, WPTime now, const WPDirectAnswer *a)
 {
-    bool streams = f->route->repeat == WP_REPEAT_STREAM;
+    bool streams = f->route->retry_policy == WP_RETRY_STREAM;
     bool ran = !a->not_run && a->genuine && (!streams || a->status == 200);
     if (!f->d->usage || !f->workspace || !ran || f->counted)
         return;
--- a/src/wp_flow_learn.c
+++ b/src/wp_flow_learn.c
@@ -33,7 +33,7 @@
    batches as engines do. */
 static bool is_plain(const WPFlow *f)
 {
-    return !f->service->slots && f->route->repeat != WP_REPEAT_STREAM;
+    return !f->service->slots && f->route->retry_policy != WP_RETRY_STREAM;
 }
 
 bool wp_flow_is_crowded(const WPFlow *f, double taken)
@@ -68,7 +68,7 @@
    number of places is. */
 static void note_lag(WPFlow *f, int64_t took_us)
 {
-    double aim_us = (double)f->route->aim_ms * WP_US_PER_MS;
+    double aim_us = (double)f->route->target_latency_ms * WP_US_PER_MS;
     double part = MIN((double)took_us / aim_us, LAG_MOST);
     f->d->lag += LAG_WEIGHT * (part - f->d->lag);
 }
@@ -91,7 +91,7 @@
         return;
     f->leg.heard = true;
     f->leg.first_us = now.mono_us;
-    if (f->route->aim_ms)
+    if (f->route->target_latency_ms)
         note_lag(f, took);
     wp_fleet_first_byte(f->d->fleet, f->leg.replica, f->leg.reading_us, took,
                         (int64_t)f->leg.expect_us);
@@ -178,7 +178,7 @@
 /* A stream that went on elsewhere paused for another reason. */
 void wp_flow_learn_pause(WPFlow *f)
 {
-    double aim_us = (double)f->route->gap_ms * WP_US_PER_MS;
+    double aim_us = (double)f->route->max_event_gap_ms * WP_US_PER_MS;
     if (!f->leg.replica || !f->gap_us || f->n_tried)
         return;
     double reading_us = wp_peaks_since(&f->leg.replica->peaks, f->leg.first_us);
--- a/src/wp_flow_pick.c
+++ b/src/wp_flow_pick.c
@@ -12,8 +12,8 @@
 bool wp_flow_may_repeat(const WPFlow *f)
 {
     const WPRoute *r = f->route;
-    return r->repeat == WP_REPEAT_SAFE ||
-           (r->repeat == WP_REPEAT_STREAM && r->resumable);
+    return r->retry_policy == WP_RETRY_SAFE ||
+           (r->retry_policy == WP_RETRY_STREAM && r->resumable);
 }
 
 WPStr wp_flow_model(const WPFlow *f)
@@ -44,7 +44,7 @@
 /* What the request wants of an endpoint with this model. */
 static WPEndpointQuery want_of(WPFlow *f, WPStr model)
 {
-    bool engine = f->route->repeat == WP_REPEAT_STREAM;
+    bool engine = f->route->retry_policy == WP_RETRY_STREAM;
     return (WPEndpointQuery){
         .service = f->service->name,
         .allowed = version_allowed,
@@ -55,10 +55,10 @@
         .ttfb = wp_flow_speed(f, model),
         .ttfb_weight = f->d->rules.second * wp_value_rate_per_s(&f->d->earned),
         .stalls = engine ? &f->d->pauses : NULL,
-        .max_stall_us = (double)f->route->gap_ms * WP_US_PER_MS,
+        .max_stall_us = (double)f->route->max_event_gap_ms * WP_US_PER_MS,
         .stall_weight = f->d->rules.fleet.stall_weight * f->d->rules.second *
                         wp_cascade_late_loss(&f->d->earned),
-        .memory_tokens = f->service->memory_tokens,
+        .memory_tokens = f->service->kv_cache_tokens,
         .body_bytes = f->body_bytes,
         .tried = f->tried,
         .n_tried = f->n_tried,
@@ -180,7 +180,7 @@
 {
     /* Of a stream, the first byte hangs on the model and the prompt, whatever
        the route. */
-    bool streams = f->route->repeat == WP_REPEAT_STREAM;
+    bool streams = f->route->retry_policy == WP_RETRY_STREAM;
     return wp_direct_speed(f->d, streams ? f->service->name : f->route->name,
                            model);
 }
@@ -227,14 +227,14 @@
 uint32_t wp_flow_patience(WPFlow *f)
 {
     double mean = f->leg.expect_us;
-    uint32_t least = f->route->repeat == WP_REPEAT_STREAM
+    uint32_t least = f->route->retry_policy == WP_RETRY_STREAM
                          ? PATIENCE_STREAM_LEAST_MS
                          : PATIENCE_LEAST_MS;
     if (!wp_flow_may_repeat(f) || f->hurried || f->leg.crowded ||
         wp_flow_is_single(f) || f->ran + 1 >= f->route->max_attempts)
         return 0;
     if (mean <= 0)
-        return MAX(f->route->aim_ms, least);
+        return MAX(f->route->target_latency_ms, least);
     return MAX((uint32_t)(PATIENCE_TIMES * mean / WP_US_PER_MS), least);
 }
 
@@ -246,7 +246,7 @@
 {
     double upper = wp_quartiles_upper(
         wp_direct_usual(f->d, f->route->name, wp_flow_model(f)));
-    bool plain = f->route->repeat != WP_REPEAT_STREAM;
+    bool plain = f->route->retry_policy != WP_RETRY_STREAM;
     return plain && upper > 0 &&
            PLAIN_TIMES * upper < (double)left_ms * WP_US_PER_MS;
 }
@@ -254,7 +254,7 @@
 /* The chance that a leg with this model begins in time. */
 static double in_time(WPFlow *f, WPTime now, WPStr model, double *reading_us)
 {
-    double aim_us = (double)f->route->aim_ms * WP_US_PER_MS;
+    double aim_us = (double)f->route->target_latency_ms * WP_US_PER_MS;
     double left_us = aim_us - (double)(now.mono_us - f->start_us);
     *reading_us = 0;
     if (aim_us > 0 && left_us <= 0)
@@ -308,7 +308,7 @@
 bool wp_flow_skips_ahead(WPFlow *f, WPTime now)
 {
     const GPtrArray *models = f->route->models;
-    double aim_us = (double)f->route->aim_ms * WP_US_PER_MS;
+    double aim_us = (double)f->route->target_latency_ms * WP_US_PER_MS;
     if (models->len < 2 || aim_us <= 0)
         return false;
     double reading_us;
--- a/src/wp_flow_suspect.c
+++ b/src/wp_flow_suspect.c
@@ -31,7 +31,7 @@
                                              f->leg.replica->incarnation_hash);
     if (how == WP_LOSS_SILENT || gone)
         return WP_OUTCOME_NO_RESPONSE;
-    bool stream = f->route->repeat == WP_REPEAT_STREAM;
+    bool stream = f->route->retry_policy == WP_RETRY_STREAM;
     return stream ? WP_OUTCOME_STREAM_BROKEN : WP_OUTCOME_FAILED;
 }
 
--- a/src/wp_json.c
+++ b/src/wp_json.c
@@ -1,10 +1,10 @@
-/* Fields of JSON objects. */
+/* Readers of the fields of JSON objects. */
 #include "wp_json.h"
 
 #include <math.h>
 #include <stdlib.h>
 
-const char *wp_json_text(WPJson *o, const char *name)
+const char *wp_json_string(WPJsonReader *o, const char *name)
 {
     const char *s = json_string_value(json_object_get(o->j, name));
     if (s && *s)
@@ -13,31 +13,31 @@
     return "";
 }
 
-int64_t wp_json_whole(WPJson *o, const char *name, double least)
+int64_t wp_json_int(WPJsonReader *o, const char *name, double min)
 {
     double v = wp_json_number(o->j, name, NAN);
-    if (v >= least && v <= WP_JSON_WHOLE_MOST && v == floor(v))
+    if (v >= min && v <= WP_JSON_INT_MAX && v == floor(v))
         return (int64_t)v;
     o->problem = name;
     return 0;
 }
 
-const json_t *wp_json_list(WPJson *o, const char *name)
+const json_t *wp_json_array(WPJsonReader *o, const char *name)
 {
-    const json_t *list = json_object_get(o->j, name);
-    if (json_is_array(list))
-        return list;
+    const json_t *array = json_object_get(o->j, name);
+    if (json_is_array(array))
+        return array;
     o->problem = name;
     return NULL;
 }
 
-void wp_json_texts(WPJson *o, const char *name, GPtrArray *out)
+void wp_json_strings(WPJsonReader *o, const char *name, GPtrArray *out)
 {
-    json_t *one;
+    json_t *element;
     size_t i;
-    json_array_foreach (json_object_get(o->j, name), i, one) {
-        if (json_is_string(one))
-            g_ptr_array_add(out, g_strdup(json_string_value(one)));
+    json_array_foreach (json_object_get(o->j, name), i, element) {
+        if (json_is_string(element))
+            g_ptr_array_add(out, g_strdup(json_string_value(element)));
         else
             o->problem = name;
     }
@@ -49,7 +49,7 @@
     return json_is_number(v) ? json_number_value(v) : absent;
 }
 
-uint32_t wp_json_count(const json_t *j, const char *name, double absent)
+uint32_t wp_json_uint32(const json_t *j, const char *name, double absent)
 {
     return (uint32_t)CLAMP(wp_json_number(j, name, absent), 0, UINT32_MAX);
 }
@@ -63,7 +63,7 @@
     return out;
 }
 
-bool wp_json_flag(const json_t *j, const char *name)
+bool wp_json_bool(const json_t *j, const char *name)
 {
     return json_is_true(json_object_get(j, name));
 }
--- a/src/wp_json.h
+++ b/src/wp_json.h
@@ -1,5 +1,5 @@
-/* Fields of a JSON object that any writer may have made: what is missing or of
- * another type is noted, and the reading goes on. */
+/* Readers of the fields of a JSON object from an untrusted source. A field that
+ * is missing or invalid is recorded, and the caller can go on reading. */
 #ifndef WP_JSON_H
 #define WP_JSON_H
 
@@ -7,36 +7,42 @@
 
 #include <jansson.h>
 
-typedef struct WPJson {
+typedef struct WPJsonReader {
     const json_t *j;
-    const char *problem; /* the last field that is wrong; NULL: none is */
-} WPJson;
+    const char *problem; /* name of the last invalid field; NULL: none */
+} WPJsonReader;
 
-/* The largest whole number that a double holds with all below it. */
-#define WP_JSON_WHOLE_MOST 9007199254740992.0
+/* 2^53: a double represents every integer up to this one exactly. */
+#define WP_JSON_INT_MAX 9007199254740992.0
 
-/* A text that is not empty; "" and a problem when it is none. */
-const char *wp_json_text(WPJson *o, const char *name);
+/* Returns a string that is not empty; records a problem and returns "" if the
+   field is anything else. */
+const char *wp_json_string(WPJsonReader *o, const char *name);
 
-/* A whole number from `least` on; 0 and a problem when it is none. */
-int64_t wp_json_whole(WPJson *o, const char *name, double least);
+/* Returns an integer from `min` to WP_JSON_INT_MAX; records a problem and
+   returns 0 if the field is anything else. */
+int64_t wp_json_int(WPJsonReader *o, const char *name, double min);
 
-/* A list; NULL and a problem when it is none. */
-const json_t *wp_json_list(WPJson *o, const char *name);
+/* Returns an array; records a problem and returns NULL if the field is anything
+   else. */
+const json_t *wp_json_array(WPJsonReader *o, const char *name);
 
-/* Appends copies of a list's texts to `out`, if there is such a list; a problem
-   when one is no text. */
-void wp_json_texts(WPJson *o, const char *name, GPtrArray *out);
+/* Appends copies of the strings in an array to `out`, and records a problem for
+   each element that is not a string. A missing field is no problem. */
+void wp_json_strings(WPJsonReader *o, const char *name, GPtrArray *out);
 
-/* The number or `absent`; a problem only by the caller's judgement. */
+/* Returns a number, or `absent` if the field is anything else. Records no
+   problem, so the caller has to check the value if it matters. */
 double wp_json_number(const json_t *j, const char *name, double absent);
 
-/* The same, brought into the range of the type. */
-uint32_t wp_json_count(const json_t *j, const char *name, double absent);
+/* Like wp_json_number(), clamped to the range of the type. */
+uint32_t wp_json_uint32(const json_t *j, const char *name, double absent);
 
-/* The compact text of a value, which is freed; free with g_free(). */
+/* Returns the compact text of a value, to be freed with g_free(). Drops the
+   caller's reference to the value. */
 char *wp_json_dump(json_t *j);
 
-bool wp_json_flag(const json_t *j, const char *name);
+/* Returns whether the field is the literal true. */
+bool wp_json_bool(const json_t *j, const char *name);
 
 #endif
--- a/src/wp_labels.c
+++ b/src/wp_labels.c
@@ -15,7 +15,7 @@
 typedef struct Term {
     Op op;
     char *key;
-    char **values; /* NULL-ended; NULL for the existence terms */
+    char **values; /* NULL-terminated; NULL for OP_EXISTS and OP_ABSENT */
 } Term;
 
 struct WPSelector {
@@ -51,7 +51,7 @@
     return c ? c : have[key.n] != 0;
 }
 
-/* The place of `key`, or where it belongs. */
+/* Returns the index of `key`, or the index at which to insert it. */
 static guint find_pair(const WPLabels *l, WPStr key, bool *found)
 {
     guint i;
@@ -131,7 +131,7 @@
     g_free(s);
 }
 
-static bool valid_word(WPStr w)
+static bool is_valid_word(WPStr w)
 {
     for (size_t i = 0; i < w.n; i++)
         if (!g_ascii_isalnum(w.p[i]) && !strchr("-_./@:", w.p[i]))
@@ -139,7 +139,8 @@
     return w.n > 0;
 }
 
-/* Splits `rest` at the next comma that is outside of parentheses. */
+/* Returns the part of `rest` before the next comma outside of parentheses, and
+   advances `rest` past that comma. */
 static WPStr next_term(WPStr *rest)
 {
     int depth = 0;
@@ -157,7 +158,8 @@
     return head;
 }
 
-/* Reads "(a,b)" or a single word into a NULL-ended array; NULL when wrong. */
+/* Parses "(a,b)" if `set` is true, else a single value, into a NULL-terminated
+   array; returns NULL if the syntax is wrong. */
 static char **parse_values(WPStr v, bool set)
 {
     GPtrArray *out;
@@ -169,7 +171,7 @@
     out = g_ptr_array_new_with_free_func(g_free);
     do {
         WPStr w = wp_str_trim(set ? wp_str_cut(&v, ',') : v);
-        if (!valid_word(w)) {
+        if (!is_valid_word(w)) {
             g_ptr_array_free(out, TRUE);
             return NULL;
         }
@@ -207,14 +209,14 @@
             continue;
         out->op = forms[i].op;
         out->values =
-            valid_word(key) ? parse_values(value, forms[i].set) : NULL;
+            is_valid_word(key) ? parse_values(value, forms[i].set) : NULL;
         out->key = out->values ? g_strndup(key.p, key.n) : NULL;
         return out->values != NULL;
     }
     out->op = t.n && t.p[0] == '!' ? OP_ABSENT : OP_EXISTS;
     if (out->op == OP_ABSENT)
         t = wp_str_trim(wp_strn(t.p + 1, t.n - 1));
-    if (!valid_word(t))
+    if (!is_valid_word(t))
         return false;
     out->key = g_strndup(t.p, t.n);
     return true;
@@ -227,13 +229,13 @@
     s->terms = g_array_new(FALSE, TRUE, sizeof(Term));
     g_array_set_clear_func(s->terms, clear_term);
     while (rest.n) {
-        WPStr word = wp_str_trim(next_term(&rest));
+        WPStr term_text = wp_str_trim(next_term(&rest));
         Term t = { 0 };
-        if (!parse_term(word, &t)) {
+        if (!parse_term(term_text, &t)) {
             g_set_error(error, WP_ERROR, WP_ERROR_INPUT,
                         "term '%.*s': expected key=value, key!=value, "
                         "key in (a,b), key notin (a,b), key or !key",
-                        (int)word.n, word.p);
+                        (int)term_text.n, term_text.p);
             wp_selector_free(s);
             return NULL;
         }
@@ -254,12 +256,12 @@
     return in == (t->op == OP_IN);
 }
 
-bool wp_selector_match(const WPSelector *s, const WPLabels *over,
+bool wp_selector_match(const WPSelector *s, const WPLabels *overrides,
                        const WPLabels *labels)
 {
     for (guint i = 0; i < s->terms->len; i++) {
         const Term *t = &g_array_index(s->terms, Term, i);
-        const char *value = wp_labels_get(over, wp_str(t->key));
+        const char *value = wp_labels_get(overrides, wp_str(t->key));
         if (!value)
             value = wp_labels_get(labels, wp_str(t->key));
         if (!match_term(t, value))
--- a/src/wp_members.c
+++ b/src/wp_members.c
@@ -1,4 +1,4 @@
-/* The table of boxes. */
+/* The membership table. */
 #include "wp_members.h"
 #include "wp_pb.h"
 
@@ -6,7 +6,7 @@
     GHashTable *rows; /* id -> WPMemberRow */
     GPtrArray *live;
     uint64_t bucket[WP_MEMBER_BUCKETS];
-    uint64_t total; /* of all buckets */
+    uint64_t total; /* XOR of all buckets */
 };
 
 static void free_row(gpointer p)
@@ -44,70 +44,70 @@
     return (unsigned)(wp_hash(wp_str(id), 1) % WP_MEMBER_BUCKETS);
 }
 
-static unsigned rank_of(const Wp__Member *m)
+static unsigned state_rank(const Wp__Member *m)
 {
     return m->gone ? 2 : m->leaving ? 1 : 0;
 }
 
-static bool newer(const Wp__Member *a, const Wp__Member *b)
+static bool is_newer(const Wp__Member *a, const Wp__Member *b)
 {
     if (a->incarnation != b->incarnation)
         return a->incarnation > b->incarnation;
-    if (rank_of(a) != rank_of(b))
-        return rank_of(a) > rank_of(b);
+    if (state_rank(a) != state_rank(b))
+        return state_rank(a) > state_rank(b);
     return a->seq > b->seq;
 }
 
-static uint64_t hash_of(const Wp__Member *m)
+static uint64_t record_hash(const Wp__Member *m)
 {
     uint64_t h = wp_hash(wp_str(m->id), m->incarnation);
-    uint64_t v[2] = { m->seq, rank_of(m) };
+    uint64_t v[2] = { m->seq, state_rank(m) };
     return wp_hash(wp_strn((const char *)v, sizeof(v)), h);
 }
 
-static void unlist(WPMembers *t, WPMemberRow *r)
+static void remove_live(WPMembers *t, WPMemberRow *r)
 {
     if (r->m->gone)
         return;
     WPMemberRow *last = t->live->pdata[t->live->len - 1];
-    last->peer_index = r->peer_index;
-    g_ptr_array_remove_index_fast(t->live, r->peer_index);
+    last->live_index = r->live_index;
+    g_ptr_array_remove_index_fast(t->live, r->live_index);
 }
 
-static void list(WPMembers *t, WPMemberRow *r)
+static void add_live(WPMembers *t, WPMemberRow *r)
 {
     if (r->m->gone)
         return;
-    r->peer_index = t->live->len;
+    r->live_index = t->live->len;
     g_ptr_array_add(t->live, r);
 }
 
-bool wp_members_take(WPMembers *t, const Wp__Member *m, int64_t now_us)
+bool wp_members_merge(WPMembers *t, const Wp__Member *m, int64_t now_us)
 {
     WPMemberRow *r = g_hash_table_lookup(t->rows, m->id);
     unsigned b = wp_member_bucket(m->id);
-    if (r && !newer(m, r->m))
+    if (r && !is_newer(m, r->m))
         return false;
     if (r) {
-        unlist(t, r);
+        remove_live(t, r);
         t->bucket[b] ^= r->hash;
         t->total ^= r->hash;
         if (r->m->incarnation != m->incarnation)
-            r->first_us = now_us;
+            r->first_seen_us = now_us;
         g_hash_table_steal(t->rows, m->id);
         wp_pb_free(r->m);
         g_free(r->addr);
     } else {
         r = g_new0(WPMemberRow, 1);
-        r->first_us = now_us;
+        r->first_seen_us = now_us;
     }
     r->m = wp_member_copy(m);
     r->addr = g_strdup_printf("%s:%u", m->addr, m->port);
-    r->hash = hash_of(m);
+    r->hash = record_hash(m);
     t->bucket[b] ^= r->hash;
     t->total ^= r->hash;
     g_hash_table_insert(t->rows, r->m->id, r);
-    list(t, r);
+    add_live(t, r);
     return true;
 }
 
@@ -116,7 +116,7 @@
     return g_hash_table_lookup(t->rows, id);
 }
 
-unsigned wp_members_live(const WPMembers *t)
+unsigned wp_members_live_count(const WPMembers *t)
 {
     return t->live->len;
 }
@@ -150,13 +150,13 @@
                          unsigned role)
 {
     uint64_t own = wp_hash(wp_str(self->id), 2);
-    unsigned before = 0;
+    unsigned preceding = 0;
     for (guint i = 0; i < t->live->len; i++) {
         const Wp__Member *m = ((const WPMemberRow *)t->live->pdata[i])->m;
         if (m->leaving || (role && m->role != role) || !m->zone ||
             strcmp(m->zone, self->zone) || !strcmp(m->id, self->id))
             continue;
-        before += wp_hash(wp_str(m->id), 2) < own;
+        preceding += wp_hash(wp_str(m->id), 2) < own;
     }
-    return before;
+    return preceding;
 }
--- a/src/wp_members.h
+++ b/src/wp_members.h
@@ -1,7 +1,8 @@
-/* The table of boxes, merged from every side without coordination: of two
- * records of one box the higher (incarnation, rank, seq) wins, where gone
- * ranks over leaving and leaving over live. So a box that has left cannot
- * come back in the same incarnation by an old message. */
+/* The membership table: the boxes of the system, merged from all sources
+ * without coordination. Of two records of one box the one with the higher
+ * (incarnation, state, seq) wins, where gone ranks above draining and draining
+ * above live. So an old message cannot bring back a box that is gone in the
+ * same incarnation. */
 #ifndef WP_MEMBERS_H
 #define WP_MEMBERS_H
 
@@ -14,38 +15,46 @@
 
 typedef struct WPMemberRow {
     Wp__Member *m;
-    char *addr;       /* host:port */
-    int64_t first_us; /* when this incarnation was first heard of */
+    char *addr;            /* host:port */
+    int64_t first_seen_us; /* when this incarnation was first received */
     uint64_t hash;
-    guint peer_index; /* place in the array of live ones; own use */
+    guint live_index; /* index in the array of live boxes; internal */
 } WPMemberRow;
 
 WPMembers *wp_members_new(void);
 void wp_members_free(WPMembers *t);
 
-/* Copies `m` if it is news; returns whether it was. */
-bool wp_members_take(WPMembers *t, const Wp__Member *m, int64_t now_us);
+/* Stores a copy of `m` if it is newer than the record of the same box. Returns
+   whether it was. */
+bool wp_members_merge(WPMembers *t, const Wp__Member *m, int64_t now_us);
 
 const WPMemberRow *wp_members_get(const WPMembers *t, const char *id);
 
-/* Boxes that are not gone. */
-unsigned wp_members_live(const WPMembers *t);
+/* The number of boxes that are not gone, and the box at an index below that
+   number. */
+unsigned wp_members_live_count(const WPMembers *t);
 const WPMemberRow *wp_members_live_at(const WPMembers *t, unsigned i);
 
-/* All rows, also of boxes that are gone. */
+/* Calls `fn` with `arg` for each row, including those of boxes that are
+   gone. */
 void wp_members_each(const WPMembers *t,
                      void (*fn)(void *arg, const WPMemberRow *r), void *arg);
 
+/* Hashes of all records, and of the records in one of WP_MEMBER_BUCKETS
+   buckets. Two boxes with the same records have the same hashes.
+   wp_member_bucket() returns the bucket of a box. */
 uint64_t wp_members_hash(const WPMembers *t);
 uint64_t wp_members_bucket_hash(const WPMembers *t, unsigned bucket);
 unsigned wp_member_bucket(const char *id);
 
-/* How many live boxes of the zone of `self`, of the role (0: any), come
-   before it in the order in which boxes take on work for their zone. */
+/* Returns the rank of `self` in its zone: the number of other boxes of the zone
+   that precede it, not counting those that are gone or draining, or that have
+   another role than `role` (Wp__Role; 0: any). Boxes with low ranks take on
+   work for their zone. */
 unsigned wp_members_rank(const WPMembers *t, const Wp__Member *self,
                          unsigned role);
 
-/* Copies and frees single records. */
+/* Returns a copy of a record; free with wp_pb_free(). */
 Wp__Member *wp_member_copy(const Wp__Member *m);
 
 #endif
--- a/src/wp_mirror.c
+++ b/src/wp_mirror.c
@@ -1,24 +1,24 @@
-/* The copy of the store's entries. */
+/* Local copy of the store's entries. */
 #include "wp_mirror.h"
 #include "wp_pb.h"
 
 #include <zlib.h>
 
 enum {
-    PACK_LEAST = 1024,    /* bytes; shorter values are sent as they are */
-    PACK_ITEMS = 16,      /* fewer are sent one by one */
-    VALUE_MOST = 8 << 20, /* bytes of a value that is taken */
-    DELTA_MOST = 64 << 20 /* the same of a packed delta */
+    COMPRESS_MIN_BYTES = 1024, /* bytes; shorter values are sent uncompressed */
+    COMPRESS_MIN_ITEMS = 16,   /* a delta with fewer is not made one block */
+    VALUE_MAX = 8 << 20,       /* bytes of a received value, uncompressed */
+    DELTA_MAX = 64 << 20       /* the same of a received delta */
 };
 
 struct WPMirror {
     GHashTable *items; /* key -> WPMirrorItem */
     uint64_t complete;
-    /* The last packed delta, and what it was made for. */
-    GBytes *packed;
-    uint32_t packed_size;
-    uint64_t packed_since, packed_complete, packed_change;
-    uint64_t change; /* counts the entries taken */
+    /* The last compressed delta, and the state that it was made for. */
+    GBytes *block;
+    uint32_t block_size;
+    uint64_t block_since, block_complete, block_change;
+    uint64_t change; /* number of changes stored so far */
 };
 
 static void item_free(void *p)
@@ -27,8 +27,8 @@
     g_free(i->key);
     if (i->value)
         g_bytes_unref(i->value);
-    if (i->packed)
-        g_bytes_unref(i->packed);
+    if (i->compressed)
+        g_bytes_unref(i->compressed);
     g_free(i);
 }
 
@@ -44,12 +44,12 @@
     if (!m)
         return;
     g_hash_table_unref(m->items);
-    if (m->packed)
-        g_bytes_unref(m->packed);
+    if (m->block)
+        g_bytes_unref(m->block);
     g_free(m);
 }
 
-uint64_t wp_mirror_complete(const WPMirror *m)
+uint64_t wp_mirror_complete_revision(const WPMirror *m)
 {
     return m->complete;
 }
@@ -86,7 +86,7 @@
     return g_hash_table_size(m->items);
 }
 
-uint64_t wp_mirror_revision(const WPMirror *m, const char *key)
+uint64_t wp_mirror_key_revision(const WPMirror *m, const char *key)
 {
     const WPMirrorItem *i = wp_mirror_get(m, key);
     return i ? i->revision : 0;
@@ -114,8 +114,8 @@
     return list;
 }
 
-GPtrArray *wp_mirror_lacking(const WPMirror *m, GHashTable *keys,
-                             uint64_t revision)
+GPtrArray *wp_mirror_not_in(const WPMirror *m, GHashTable *keys,
+                            uint64_t revision)
 {
     GPtrArray *list = g_ptr_array_new();
     GHashTableIter it;
@@ -130,25 +130,26 @@
     return list;
 }
 
-/* The value by zlib; the value itself when that is not shorter. */
-static GBytes *packed_value(WPMirrorItem *i)
+/* Returns the value compressed by zlib, or the value itself if compression
+   does not make it shorter; the result is cached in the item. */
+static GBytes *compressed_value(WPMirrorItem *i)
 {
     gsize n;
     const void *value = g_bytes_get_data(i->value, &n);
     uLongf size = compressBound(n);
-    if (i->packed)
-        return i->packed;
+    if (i->compressed)
+        return i->compressed;
     g_autofree Bytef *out = g_malloc(size);
-    bool shorter = n >= PACK_LEAST &&
+    bool shorter = n >= COMPRESS_MIN_BYTES &&
                    compress2(out, &size, value, n, Z_BEST_SPEED) == Z_OK &&
                    size < n;
-    i->packed = shorter ? g_bytes_new(out, size) : g_bytes_ref(i->value);
-    return i->packed;
+    i->compressed = shorter ? g_bytes_new(out, size) : g_bytes_ref(i->value);
+    return i->compressed;
 }
 
-static void fill_value(Wp__MirrorItem *w, WPMirrorItem *i, bool plain)
+static void fill_value(Wp__MirrorItem *w, WPMirrorItem *i, bool raw)
 {
-    GBytes *sent = plain ? i->value : packed_value(i);
+    GBytes *sent = raw ? i->value : compressed_value(i);
     gsize n;
     ProtobufCBinaryData data = { 0 };
     data.data = (uint8_t *)g_bytes_get_data(sent, &n);
@@ -164,7 +165,7 @@
     w->size = (uint32_t)g_bytes_get_size(i->value);
 }
 
-static Wp__MirrorItem *wire_item(WPMirrorItem *i, bool plain)
+static Wp__MirrorItem *wire_item(WPMirrorItem *i, bool raw)
 {
     Wp__MirrorItem *w = g_new0(Wp__MirrorItem, 1);
     wp__mirror_item__init(w);
@@ -175,14 +176,14 @@
     w->has_lapsed = i->lapsed;
     w->lapsed = i->lapsed;
     if (i->value)
-        fill_value(w, i, plain);
+        fill_value(w, i, raw);
     return w;
 }
 
 GBytes *wp_mirror_item_value(const Wp__MirrorItem *item)
 {
     uLongf size = item->size;
-    if (item->removed || size > VALUE_MOST)
+    if (item->removed || size > VALUE_MAX)
         return NULL;
     if (!item->has_packed)
         return g_bytes_new(item->value.data, item->value.len);
@@ -193,8 +194,8 @@
     return NULL;
 }
 
-/* `plain`: no value is packed by itself. */
-static Wp__MirrorDelta *delta(const WPMirror *m, uint64_t since, bool plain)
+/* `raw`: the values are not compressed one by one. */
+static Wp__MirrorDelta *make_delta(const WPMirror *m, uint64_t since, bool raw)
 {
     Wp__MirrorDelta *d = g_new0(Wp__MirrorDelta, 1);
     g_autoptr(GPtrArray) list = wp_mirror_since(m, since);
@@ -204,51 +205,54 @@
     d->n_items = list->len;
     d->items = g_new0(Wp__MirrorItem *, list->len + 1);
     for (guint i = 0; i < list->len; i++)
-        d->items[i] = wire_item(g_ptr_array_index(list, i), plain);
+        d->items[i] = wire_item(g_ptr_array_index(list, i), raw);
     return d;
 }
 
 Wp__MirrorDelta *wp_mirror_delta(const WPMirror *m, uint64_t since)
 {
-    return delta(m, since, false);
+    return make_delta(m, since, false);
 }
 
-static bool is_packed_for(const WPMirror *m, uint64_t since)
+static bool is_block_current(const WPMirror *m, uint64_t since)
 {
-    return m->packed && m->packed_since == since &&
-           m->packed_complete == m->complete && m->packed_change == m->change;
+    return m->block && m->block_since == since &&
+           m->block_complete == m->complete && m->block_change == m->change;
 }
 
-/* The items of a delta in one piece; NULL when they are few. */
-static GBytes *packed_items(const Wp__MirrorDelta *d, uint32_t *size)
+/* Compresses a delta as one block and sets `size` to its uncompressed size.
+   Returns NULL if it has fewer than COMPRESS_MIN_ITEMS items. */
+static GBytes *compress_items(const Wp__MirrorDelta *d, uint32_t *size)
 {
-    if (d->n_items < PACK_ITEMS)
+    if (d->n_items < COMPRESS_MIN_ITEMS)
         return NULL;
-    g_autoptr(GByteArray) whole = wp_pb_pack(&d->base);
-    uLongf n = compressBound(whole->len);
+    g_autoptr(GByteArray) serialized = wp_pb_pack(&d->base);
+    uLongf n = compressBound(serialized->len);
     Bytef *out = g_malloc(n);
-    *size = whole->len;
-    if (compress2(out, &n, whole->data, whole->len, Z_BEST_SPEED) == Z_OK)
+    *size = serialized->len;
+    if (compress2(out, &n, serialized->data, serialized->len, Z_BEST_SPEED) ==
+        Z_OK)
         return g_bytes_new_take(out, n);
     g_free(out);
     return NULL;
 }
 
-/* Entries are alike: together they pack to a fraction of what each does. */
-static void pack(WPMirror *m, uint64_t since)
+/* Rebuilds the cached block. Entries resemble each other, so that compressing
+   them together takes a fraction of the space of compressing each. */
+static void rebuild_block(WPMirror *m, uint64_t since)
 {
-    Wp__MirrorDelta *d = delta(m, since, true);
-    if (m->packed)
-        g_bytes_unref(m->packed);
-    m->packed = packed_items(d, &m->packed_size);
-    m->packed_since = since;
-    m->packed_complete = m->complete;
-    m->packed_change = m->change;
+    Wp__MirrorDelta *d = make_delta(m, since, true);
+    if (m->block)
+        g_bytes_unref(m->block);
+    m->block = compress_items(d, &m->block_size);
+    m->block_since = since;
+    m->block_complete = m->complete;
+    m->block_change = m->change;
     wp_mirror_delta_free(d);
 }
 
-/* A delta that has these items packed in place of its own. */
-static Wp__MirrorDelta *packed_delta(GBytes *items, uint32_t size)
+/* Returns a delta that contains the compressed block in place of items. */
+static Wp__MirrorDelta *block_delta(GBytes *items, uint32_t size)
 {
     Wp__MirrorDelta *d = g_new0(Wp__MirrorDelta, 1);
     gsize n;
@@ -262,32 +266,32 @@
     return d;
 }
 
-Wp__MirrorDelta *wp_mirror_delta_packed(WPMirror *m, uint64_t since)
+Wp__MirrorDelta *wp_mirror_delta_compressed(WPMirror *m, uint64_t since)
 {
-    if (!is_packed_for(m, since))
-        pack(m, since);
-    if (!m->packed)
+    if (!is_block_current(m, since))
+        rebuild_block(m, since);
+    if (!m->block)
         return NULL;
-    Wp__MirrorDelta *d = packed_delta(m->packed, m->packed_size);
+    Wp__MirrorDelta *d = block_delta(m->block, m->block_size);
     d->since = since;
     d->complete = m->complete;
     return d;
 }
 
-Wp__MirrorDelta *wp_mirror_delta_unpack(const Wp__MirrorDelta *d)
+Wp__MirrorDelta *wp_mirror_delta_decompress(const Wp__MirrorDelta *d)
 {
     uLongf size = d->size;
-    if (size > DELTA_MOST)
+    if (size > DELTA_MAX)
         return NULL;
     g_autofree Bytef *out = g_malloc(MAX(size, 1));
     if (uncompress(out, &size, d->packed.data, d->packed.len) != Z_OK)
         return NULL;
-    Wp__MirrorDelta *whole = wp__mirror_delta__unpack(NULL, size, out);
-    if (whole) {
-        whole->has_partial = d->has_partial;
-        whole->partial = d->partial;
+    Wp__MirrorDelta *decompressed = wp__mirror_delta__unpack(NULL, size, out);
+    if (decompressed) {
+        decompressed->has_partial = d->has_partial;
+        decompressed->partial = d->partial;
     }
-    return whole;
+    return decompressed;
 }
 
 static bool ends_with(GBytes *value, WPStr end)
@@ -297,8 +301,8 @@
     return n >= end.n && wp_str_eq(wp_strn(p + n - end.n, end.n), end);
 }
 
-Wp__MirrorDelta *wp_mirror_part(const WPMirror *m, const char *prefix,
-                                const char *end)
+Wp__MirrorDelta *wp_mirror_delta_matching(const WPMirror *m, const char *prefix,
+                                          const char *end)
 {
     Wp__MirrorDelta *d = g_new0(Wp__MirrorDelta, 1);
     GHashTableIter it;
@@ -313,10 +317,10 @@
             d->items[d->n_items++] = wire_item(i, true);
     }
     uint32_t size;
-    g_autoptr(GBytes) packed = packed_items(d, &size);
+    g_autoptr(GBytes) packed = compress_items(d, &size);
     if (packed) {
         wp_mirror_delta_free(d);
-        d = packed_delta(packed, size);
+        d = block_delta(packed, size);
     }
     d->has_partial = d->partial = 1;
     return d;
--- a/src/wp_mirror.h
+++ b/src/wp_mirror.h
@@ -1,6 +1,6 @@
-/* A copy of the store's entries, as far as the router reads them, by the
- * store's own revisions. Boxes bring each other up to date from it, so that
- * one that the store does not answer still learns what changes. */
+/* A local copy of the store's entries that the router reads, versioned by the
+ * store's own revisions. Boxes send each other what is missing in their copies,
+ * so that a box that the store does not answer still receives changes. */
 #ifndef WP_MIRROR_H
 #define WP_MIRROR_H
 
@@ -11,9 +11,10 @@
     char *key;
     GBytes *value; /* NULL: removed */
     uint64_t revision;
-    GBytes *packed; /* the value as it is sent to other boxes; made when first
-                       needed */
-    bool lapsed;    /* removed, but perhaps only while the store was away */
+    GBytes *compressed; /* the value as it is sent to other boxes; created when
+                           first needed */
+    bool lapsed; /* removed, but perhaps only by an expired lease while the
+                    store was unavailable */
 } WPMirrorItem;
 
 typedef struct WPMirror WPMirror;
@@ -21,53 +22,58 @@
 WPMirror *wp_mirror_new(void);
 void wp_mirror_free(WPMirror *m);
 
-/* Everything up to this revision is known. */
-uint64_t wp_mirror_complete(const WPMirror *m);
+/* The revision up to which the copy contains every change. wp_mirror_advance()
+   raises it to `revision` and never lowers it. */
+uint64_t wp_mirror_complete_revision(const WPMirror *m);
 void wp_mirror_advance(WPMirror *m, uint64_t revision);
 
-/* Takes an entry (value NULL: removed); false when it is not newer than what
-   is known of the key. */
+/* Stores an entry, or its removal if `value` is NULL. Returns false and changes
+   nothing if `revision` is not higher than the known one of the key. */
 bool wp_mirror_put(WPMirror *m, const char *key, const WPStr *value,
                    uint64_t revision, bool lapsed);
 
-/* Entries, removed ones that are still remembered included. */
+/* Returns the number of entries, including removed ones that are still on
+   record. */
 uint32_t wp_mirror_size(const WPMirror *m);
 
-/* The revision of the key as it is; 0 when it is not there. */
-uint64_t wp_mirror_revision(const WPMirror *m, const char *key);
+/* Returns the revision of an entry; 0 if it does not exist. */
+uint64_t wp_mirror_key_revision(const WPMirror *m, const char *key);
 
-/* The value, or NULL. */
+/* Returns an entry, owned by `m`; NULL if it does not exist. */
 const WPMirrorItem *wp_mirror_get(const WPMirror *m, const char *key);
 
-/* The entries changed after a revision, in the order of their changes; free
-   with g_ptr_array_unref(). They stay the mirror's. */
+/* Returns the entries changed after a revision (WPMirrorItem, owned by `m`), in
+   the order of their changes; free with g_ptr_array_unref(). */
 GPtrArray *wp_mirror_since(const WPMirror *m, uint64_t revision);
 
-/* Items that a whole reading at `revision` lacks: known from before it, and
-   not in `keys` (a set). Free with g_ptr_array_unref(). */
-GPtrArray *wp_mirror_lacking(const WPMirror *m, GHashTable *keys,
-                             uint64_t revision);
+/* Returns the entries (WPMirrorItem, owned by `m`) that a full read of the
+   store at `revision` did not return: those known from before it whose keys are
+   not in the set `keys`. Free with g_ptr_array_unref(). */
+GPtrArray *wp_mirror_not_in(const WPMirror *m, GHashTable *keys,
+                            uint64_t revision);
 
-/* Messages between boxes. The delta's items point into the mirror; free it
-   with wp_mirror_delta_free(). */
+/* Returns a message to another box with all entries changed after revision
+   `since`. Its items point into `m`; free it with wp_mirror_delta_free(). */
 Wp__MirrorDelta *wp_mirror_delta(const WPMirror *m, uint64_t since);
 void wp_mirror_delta_free(Wp__MirrorDelta *d);
 
-/* The same in one packed piece, where that is much shorter; else NULL. It is
-   kept until the copy changes: many that start together ask for it. */
-Wp__MirrorDelta *wp_mirror_delta_packed(WPMirror *m, uint64_t since);
+/* Like wp_mirror_delta(), with all items compressed as one block; NULL if there
+   are too few for the block to be much shorter. The block is cached until the
+   copy changes, as many boxes that start together request it. */
+Wp__MirrorDelta *wp_mirror_delta_compressed(WPMirror *m, uint64_t since);
 
-/* The entries whose keys begin with `prefix` and whose value ends with `end`,
-   alone; free it with wp_mirror_delta_free(). */
-Wp__MirrorDelta *wp_mirror_part(const WPMirror *m, const char *prefix,
-                                const char *end);
+/* Returns a partial delta, with only the entries whose key begins with `prefix`
+   and whose value ends with `end`; free it with wp_mirror_delta_free(). */
+Wp__MirrorDelta *wp_mirror_delta_matching(const WPMirror *m, const char *prefix,
+                                          const char *end);
 
-/* A packed delta that was received, as it was before; NULL when it cannot be
-   read. Free with wp_pb_free(). */
-Wp__MirrorDelta *wp_mirror_delta_unpack(const Wp__MirrorDelta *d);
+/* Decompresses a delta that was received. Returns a new delta, to be freed with
+   wp_pb_free(), or NULL if it cannot be decoded. */
+Wp__MirrorDelta *wp_mirror_delta_decompress(const Wp__MirrorDelta *d);
 
-/* The value of an item that was received; NULL when it was removed or cannot
-   be read. */
+/* Returns a new reference to the value of an item that was received,
+   decompressed if necessary; NULL if the item is a removal or cannot be
+   decoded. */
 GBytes *wp_mirror_item_value(const Wp__MirrorItem *item);
 
 #endif
--- a/src/wp_node.c
+++ b/src/wp_node.c
@@ -1,4 +1,5 @@
-/* A node's life: its state, its actions, its turns and its clock. */
+/* Life cycle of a node: creation, action queue, periodic work, ranks and
+ * accessors. */
 #include "wp_node_int.h"
 
 static char *join_addr(const Wp__Member *m)
@@ -25,10 +26,10 @@
     n->events = wp_events_new(s->id);
     n->head_pause_us = WP_STORE_RETRY_US;
     wp_list_init(&n->actions);
-    wp_members_take(n->members, n->self, now.mono_us);
+    wp_members_merge(n->members, n->self, now.mono_us);
     n->gossip_due_us = now.mono_us;
     n->started_us = now.mono_us;
-    n->head_due_us = now.mono_us + (s->boxes ? WP_START_PATIENCE_US : 0);
+    n->head_due_us = now.mono_us + (s->boxes ? WP_START_PEER_WAIT_US : 0);
     n->boxes_due_us = now.mono_us;
     n->ratings_due_us = now.mono_us;
     wp_events_add(n->events, now, WP_EVENT_STARTED, NULL, "incarnation %lu",
@@ -41,7 +42,7 @@
     WPAction *a;
     if (!n)
         return;
-    while ((a = wp_node_next(n)))
+    while ((a = wp_node_next_action(n)))
         wp_action_free(a);
     wp_policy_unref(n->policy);
     wp_events_free(n->events);
@@ -55,7 +56,7 @@
     g_free(n);
 }
 
-WPAction *wp_node_act(WPNode *n, WPActionKind kind)
+WPAction *wp_node_queue_action(WPNode *n, WPActionKind kind)
 {
     WPAction *a = g_new0(WPAction, 1);
     a->kind = kind;
@@ -63,7 +64,7 @@
     return a;
 }
 
-WPAction *wp_node_next(WPNode *n)
+WPAction *wp_node_next_action(WPNode *n)
 {
     if (wp_list_empty(&n->actions))
         return NULL;
@@ -82,7 +83,7 @@
 
 void wp_node_send(WPNode *n, const char *addr, Wp__Frame *f)
 {
-    WPAction *a = wp_node_act(n, WP_ACT_SEND);
+    WPAction *a = wp_node_queue_action(n, WP_ACT_SEND);
     f->has_revision = 1;
     f->revision = wp_config_revision(n->config);
     a->addr = g_strdup(addr);
@@ -91,10 +92,10 @@
     n->counters.value[WP_C_GOSSIP_BYTES] += a->frame->len + 4;
 }
 
-/* A live peer other than this box, or a seed before any is known. */
+/* A random live peer other than this box, or a seed if none is found. */
 const char *wp_node_random_peer(WPNode *n)
 {
-    unsigned live = wp_members_live(n->members);
+    unsigned live = wp_members_live_count(n->members);
     for (int i = 0; live > 1 && i < 8; i++) {
         unsigned k = (unsigned)g_rand_int_range(n->rand, 0, (gint)live);
         const WPMemberRow *r = wp_members_live_at(n->members, k);
@@ -108,14 +109,14 @@
     return strcmp(seed, n->addr) ? seed : NULL;
 }
 
-int64_t wp_node_age_ms(const WPNode *n, WPTime now)
+int64_t wp_node_config_age_ms(const WPNode *n, WPTime now)
 {
     if (!n->confirmed)
         return INT64_MAX;
     return (now.mono_us - n->confirmed_us) / WP_US_PER_MS;
 }
 
-void wp_node_confirm(WPNode *n, int64_t at_us)
+void wp_node_note_confirmed(WPNode *n, int64_t at_us)
 {
     if (n->confirmed && at_us <= n->confirmed_us)
         return;
@@ -123,43 +124,44 @@
     n->confirmed_us = at_us;
 }
 
-void wp_node_ratings(WPNode *n, WPTime now, const Wp__Ratings *r)
+void wp_node_on_ratings(WPNode *n, WPTime now, const Wp__Ratings *r)
 {
     (void)now;
     if (r->seq <= wp_quality_seq(n->quality))
         return;
     wp_quality_update(n->quality, r, n->policy);
-    wp_node_act(n, WP_ACT_QUALITY);
+    wp_node_queue_action(n, WP_ACT_QUALITY);
 }
 
 void wp_node_tick(WPNode *n, WPTime now)
 {
     if (now.mono_us >= n->gossip_due_us) {
-        int64_t span = (int64_t)n->settings->gossip_ms * WP_US_PER_MS;
+        int64_t interval_us = (int64_t)n->settings->gossip_ms * WP_US_PER_MS;
         const char *peer = wp_node_random_peer(n);
-        n->gossip_due_us = now.mono_us + span / 2 + wp_node_jitter(n, span);
+        n->gossip_due_us =
+            now.mono_us + interval_us / 2 + wp_node_jitter(n, interval_us);
         if (peer)
-            wp_node_exchange(n, now, peer, false);
+            wp_node_send_digest(n, now, peer, false);
     }
     wp_node_store_tick(n, now);
 }
 
-static void spread_self(WPNode *n, WPTime now)
+static void announce_self(WPNode *n, WPTime now)
 {
     n->self->seq++;
-    wp_members_take(n->members, n->self, now.mono_us);
+    wp_members_merge(n->members, n->self, now.mono_us);
     wp_node_push_member(n, n->self);
 }
 
-void wp_node_leave(WPNode *n, WPTime now)
+void wp_node_drain(WPNode *n, WPTime now)
 {
     n->self->has_leaving = 1;
     n->self->leaving = 1;
     wp_events_add(n->events, now, WP_EVENT_LEAVING, NULL, "planned stop");
-    spread_self(n, now);
+    announce_self(n, now);
 }
 
-void wp_node_serve(WPNode *n, WPTime now, char **versions)
+void wp_node_set_versions(WPNode *n, WPTime now, char **versions)
 {
     for (size_t i = 0; i < n->self->n_versions; i++)
         free(n->self->versions[i]);
@@ -169,7 +171,7 @@
     g_assert(n->self->versions);
     for (size_t i = 0; i < n->self->n_versions; i++)
         n->self->versions[i] = strdup(versions[i]);
-    spread_self(n, now);
+    announce_self(n, now);
 }
 
 bool wp_node_ready(const WPNode *n)
@@ -228,14 +230,14 @@
     n->rank_entry = wp_members_rank(n->members, n->self, WP__ROLE__ROLE_ENTRY);
 }
 
-bool wp_node_on_duty(WPNode *n, unsigned most)
+bool wp_node_is_designated(WPNode *n, unsigned max)
 {
     update_ranks(n);
-    return !n->self->leaving && n->rank_any < most;
+    return !n->self->leaving && n->rank_any < max;
 }
 
-bool wp_node_entry_on_duty(WPNode *n, unsigned most)
+bool wp_node_is_designated_entry(WPNode *n, unsigned max)
 {
     update_ranks(n);
-    return !n->self->leaving && n->rank_entry < most;
+    return !n->self->leaving && n->rank_entry < max;
 }
--- a/src/wp_spread.c
+++ b/src/wp_node_gossip.c
@@ -1,26 +1,29 @@
-/* What a node says to its peers and takes from them: changes pushed on, boxes
- * by record, and the exchange that repairs what was missed. */
+/* Gossip between nodes: configuration changes and membership records are pushed
+ * to random peers; a periodic exchange of digests repairs what was missed. */
 #include "wp_node_int.h"
 
-/* Takes another box's word that its revision was the newest `age` ago. */
-static void confirm_from(WPNode *n, WPTime now, uint64_t revision,
-                         protobuf_c_boolean has_age, uint64_t age)
+/* Takes over a peer's confirmation that `revision` was the newest one `age` ms
+   ago, if that is the local revision as well. */
+static void confirm_from_peer(WPNode *n, WPTime now, uint64_t revision,
+                              protobuf_c_boolean has_age, uint64_t age)
 {
     if (!has_age || revision > wp_config_revision(n->config))
         return;
-    /* Their newest is at most ours, so nothing was missed at that moment. */
+    /* The peer's newest revision is the local one, so no change was missing
+       here at that moment. */
     if (revision == wp_config_revision(n->config))
-        wp_node_confirm(n, now.mono_us - (int64_t)age * WP_US_PER_MS);
+        wp_node_note_confirmed(n, now.mono_us - (int64_t)age * WP_US_PER_MS);
 }
 
-void wp_node_exchange(WPNode *n, WPTime now, const char *addr, bool reply)
+void wp_node_send_digest(WPNode *n, WPTime now, const char *addr, bool reply)
 {
     Wp__Frame f = WP__FRAME__INIT;
     Wp__Digest d = WP__DIGEST__INIT;
     d.revision = wp_config_revision(n->config);
     d.members_hash = wp_members_hash(n->members);
     d.has_confirmed_age_ms = n->confirmed;
-    d.confirmed_age_ms = n->confirmed ? (uint64_t)wp_node_age_ms(n, now) : 0;
+    d.confirmed_age_ms =
+        n->confirmed ? (uint64_t)wp_node_config_age_ms(n, now) : 0;
     d.has_ratings_seq = 1;
     d.ratings_seq = wp_quality_seq(n->quality);
     d.has_reply = reply;
@@ -30,22 +33,24 @@
     wp_node_send(n, addr, &f);
 }
 
-/* Sends what leads from `have` to the present revision. */
+/* Sends a peer the changes from revision `have` to the current one, or a full
+   copy if the history does not reach back to `have`. */
 static void send_config(WPNode *n, WPTime now, const char *addr, uint64_t have)
 {
     Wp__Frame f = WP__FRAME__INIT;
     Wp__Deltas m = WP__DELTAS__INIT;
-    GPtrArray *past = wp_config_since(n->config, have);
+    GPtrArray *history = wp_config_deltas_since(n->config, have);
     m.has_confirmed_age_ms = n->confirmed;
-    m.confirmed_age_ms = n->confirmed ? (uint64_t)wp_node_age_ms(n, now) : 0;
-    if (past) {
-        m.deltas = g_new0(Wp__Delta *, past->len);
-        for (guint i = 0; i < past->len; i++) {
+    m.confirmed_age_ms =
+        n->confirmed ? (uint64_t)wp_node_config_age_ms(n, now) : 0;
+    if (history) {
+        m.deltas = g_new0(Wp__Delta *, history->len);
+        for (guint i = 0; i < history->len; i++) {
             gsize size;
-            const uint8_t *data = g_bytes_get_data(past->pdata[i], &size);
+            const uint8_t *data = g_bytes_get_data(history->pdata[i], &size);
             m.deltas[m.n_deltas++] = wp__delta__unpack(NULL, size, data);
         }
-        g_ptr_array_unref(past);
+        g_ptr_array_unref(history);
     } else {
         m.full = wp_config_snapshot(n->config);
     }
@@ -68,7 +73,8 @@
     m.has_hops = 1;
     m.hops = hops + 1;
     m.has_confirmed_age_ms = n->confirmed;
-    m.confirmed_age_ms = n->confirmed ? (uint64_t)wp_node_age_ms(n, now) : 0;
+    m.confirmed_age_ms =
+        n->confirmed ? (uint64_t)wp_node_config_age_ms(n, now) : 0;
     f.body_case = WP__FRAME__BODY_DELTAS;
     f.deltas = &m;
     for (uint32_t i = 0; i < n->settings->fanout; i++) {
@@ -78,10 +84,11 @@
     }
 }
 
-void wp_node_changed(WPNode *n, WPTime now, const Wp__Delta *d, unsigned hops)
+void wp_node_config_changed(WPNode *n, WPTime now, const Wp__Delta *d,
+                            unsigned hops)
 {
     wp_count(&n->counters, WP_C_CONFIG_CHANGES);
-    wp_node_act(n, WP_ACT_CONFIG);
+    wp_node_queue_action(n, WP_ACT_CONFIG);
     wp_events_add(n->events, now, WP_EVENT_CONFIG, NULL,
                   "revision %lu change %s hops %u",
                   (unsigned long)wp_config_revision(n->config),
@@ -104,25 +111,25 @@
     wp_node_send(n, from, &f);
 }
 
-void wp_node_saw(WPNode *n, WPTime now, const char *from, uint64_t revision)
+void wp_node_on_peer_revision(WPNode *n, WPTime now, const char *from,
+                              uint64_t revision)
 {
     if (revision <= wp_config_revision(n->config))
         return;
-    if (now.mono_us < n->pulled_us + WP_PULL_GAP_US && n->pulled_us)
+    if (now.mono_us < n->pulled_us + WP_PULL_MIN_INTERVAL_US && n->pulled_us)
         return;
     n->pulled_us = now.mono_us;
     wp_node_pull(n, from, false);
 }
 
-/* Counts different peers, up to as many as a start asks. */
-void wp_node_heard(WPNode *n, const char *from)
+void wp_node_note_peer(WPNode *n, const char *from)
 {
     uint64_t h = wp_hash(wp_str(from), 4);
-    for (unsigned i = 0; i < n->peers_heard; i++)
-        if (n->heard[i] == h)
+    for (unsigned i = 0; i < n->peers_answered; i++)
+        if (n->peer_hashes[i] == h)
             return;
-    if (n->peers_heard < WP_START_PEERS)
-        n->heard[n->peers_heard++] = h;
+    if (n->peers_answered < WP_START_PEERS)
+        n->peer_hashes[n->peers_answered++] = h;
 }
 
 static void on_deltas(WPNode *n, WPTime now, const char *from,
@@ -130,22 +137,24 @@
 {
     bool gap = false;
     for (size_t i = 0; i < m->n_deltas; i++) {
-        WPApply r = wp_config_apply(n->config, m->deltas[i]);
+        WPApplyResult r = wp_config_apply(n->config, m->deltas[i]);
         if (r == WP_APPLY_DONE)
-            wp_node_changed(n, now, m->deltas[i], m->hops);
+            wp_node_config_changed(n, now, m->deltas[i], m->hops);
         gap |= r == WP_APPLY_GAP;
     }
-    if (m->full && wp_config_replace(n->config, m->full) == WP_APPLY_DONE)
-        wp_node_changed(n, now, NULL, m->hops);
+    if (m->full &&
+        wp_config_apply_snapshot(n->config, m->full) == WP_APPLY_DONE)
+        wp_node_config_changed(n, now, NULL, m->hops);
     if (gap)
         wp_node_pull(n, from, false);
-    uint64_t shown = m->full       ? m->full->revision
-                     : m->n_deltas ? m->deltas[m->n_deltas - 1]->revision
-                                   : 0;
-    if (shown)
-        confirm_from(n, now, shown, m->has_confirmed_age_ms,
-                     m->confirmed_age_ms);
-    wp_node_heard(n, from);
+    uint64_t peer_revision = m->full ? m->full->revision
+                             : m->n_deltas
+                                 ? m->deltas[m->n_deltas - 1]->revision
+                                 : 0;
+    if (peer_revision)
+        confirm_from_peer(n, now, peer_revision, m->has_confirmed_age_ms,
+                          m->confirmed_age_ms);
+    wp_node_note_peer(n, from);
     wp_node_check_ready(n, now);
 }
 
@@ -163,23 +172,23 @@
     wp_node_send(n, addr, &f);
 }
 
-typedef struct Gather {
-    const bool *wanted; /* by bucket; NULL: all */
+typedef struct Selection {
+    const bool *wanted; /* indexed by bucket; NULL: all buckets */
     GPtrArray *out;
-} Gather;
+} Selection;
 
-static void gather_row(void *arg, const WPMemberRow *r)
+static void select_row(void *arg, const WPMemberRow *r)
 {
-    Gather *g = arg;
+    Selection *g = arg;
     if (!g->wanted || g->wanted[wp_member_bucket(r->m->id)])
         g_ptr_array_add(g->out, r->m);
 }
 
-static void send_buckets_of(WPNode *n, const char *addr, const bool *wanted,
-                            uint32_t *buckets, size_t n_buckets)
+static void send_bucket_members(WPNode *n, const char *addr, const bool *wanted,
+                                uint32_t *buckets, size_t n_buckets)
 {
-    Gather g = { wanted, g_ptr_array_new() };
-    wp_members_each(n->members, gather_row, &g);
+    Selection g = { wanted, g_ptr_array_new() };
+    wp_members_each(n->members, select_row, &g);
     send_members(n, addr, (Wp__Member **)g.out->pdata, g.out->len, buckets,
                  n_buckets);
     g_ptr_array_unref(g.out);
@@ -195,8 +204,8 @@
     }
 }
 
-/* Somebody holds this box for gone or for an older one: a new incarnation
-   puts that right. */
+/* Handles a record of this box that a peer sent. If it shows the box as gone,
+   or in a higher incarnation, refutes it by announcing a still higher one. */
 static void refute(WPNode *n, WPTime now, const Wp__Member *m)
 {
     if (m->incarnation < n->self->incarnation)
@@ -205,17 +214,17 @@
         return;
     n->self->incarnation = m->incarnation + 1;
     n->self->seq++;
-    wp_members_take(n->members, n->self, now.mono_us);
+    wp_members_merge(n->members, n->self, now.mono_us);
     wp_node_push_member(n, n->self);
 }
 
-static bool take_member(WPNode *n, WPTime now, const Wp__Member *m)
+static bool merge_member(WPNode *n, WPTime now, const Wp__Member *m)
 {
     if (!strcmp(m->id, n->self->id)) {
         refute(n, now, m);
         return false;
     }
-    if (!wp_members_take(n->members, m, now.mono_us))
+    if (!wp_members_merge(n->members, m, now.mono_us))
         return false;
     wp_events_add(n->events, now, WP_EVENT_MEMBER, NULL, "%s %s", m->id,
                   m->gone      ? "gone"
@@ -228,19 +237,19 @@
 static void on_members(WPNode *n, WPTime now, const char *from,
                        const Wp__Members *m)
 {
-    bool news = false;
+    bool changed = false;
     bool wanted[WP_MEMBER_BUCKETS] = { false };
     for (size_t i = 0; i < m->n_members; i++)
-        news |= take_member(n, now, m->members[i]);
-    if (news)
-        wp_node_act(n, WP_ACT_MEMBERS);
+        changed |= merge_member(n, now, m->members[i]);
+    if (changed)
+        wp_node_queue_action(n, WP_ACT_MEMBERS);
     for (size_t i = 0; i < m->n_buckets; i++)
         wanted[m->buckets[i] % WP_MEMBER_BUCKETS] = true;
     if (m->n_buckets)
-        send_buckets_of(n, from, wanted, NULL, 0);
+        send_bucket_members(n, from, wanted, NULL, 0);
 }
 
-static void send_buckets(WPNode *n, const char *addr)
+static void send_bucket_hashes(WPNode *n, const char *addr)
 {
     uint64_t hash[WP_MEMBER_BUCKETS];
     Wp__Frame f = WP__FRAME__INIT;
@@ -266,23 +275,23 @@
         differ[count++] = i;
     }
     if (count)
-        send_buckets_of(n, from, wanted, differ, count);
+        send_bucket_members(n, from, wanted, differ, count);
 }
 
 static void on_digest(WPNode *n, WPTime now, const char *from,
                       const Wp__Digest *d)
 {
     uint64_t own = wp_config_revision(n->config);
-    confirm_from(n, now, d->revision, d->has_confirmed_age_ms,
-                 d->confirmed_age_ms);
+    confirm_from_peer(n, now, d->revision, d->has_confirmed_age_ms,
+                      d->confirmed_age_ms);
     if (d->revision > own)
-        wp_node_saw(n, now, from, d->revision);
+        wp_node_on_peer_revision(n, now, from, d->revision);
     if (d->revision < own)
         send_config(n, now, from, d->revision);
     if (!d->reply)
-        wp_node_exchange(n, now, from, true);
+        wp_node_send_digest(n, now, from, true);
     else if (d->members_hash != wp_members_hash(n->members))
-        send_buckets(n, from);
+        send_bucket_hashes(n, from);
     if (d->ratings_seq > wp_quality_seq(n->quality) &&
         n->self->role == WP__ROLE__ROLE_ENTRY) {
         Wp__Frame f = WP__FRAME__INIT;
@@ -293,7 +302,7 @@
         f.pull = &p;
         wp_node_send(n, from, &f);
     }
-    wp_node_heard(n, from);
+    wp_node_note_peer(n, from);
     wp_node_check_ready(n, now);
 }
 
@@ -302,9 +311,9 @@
     if (p->config && p->have < wp_config_revision(n->config))
         send_config(n, now, from, p->have);
     else if (p->config)
-        wp_node_exchange(n, now, from, true);
+        wp_node_send_digest(n, now, from, true);
     if (p->members)
-        send_buckets_of(n, from, NULL, NULL, 0);
+        send_bucket_members(n, from, NULL, NULL, 0);
     if (!p->ratings)
         return;
     Wp__Frame f = WP__FRAME__INIT;
@@ -314,10 +323,11 @@
     wp_pb_free(f.ratings);
 }
 
-bool wp_node_frame(WPNode *n, WPTime now, const char *from, const Wp__Frame *f)
+bool wp_node_on_frame(WPNode *n, WPTime now, const char *from,
+                      const Wp__Frame *f)
 {
     if (f->has_hlc)
-        wp_events_seen(n->events, f->hlc);
+        wp_events_merge_clock(n->events, f->hlc);
     switch (f->body_case) {
     case WP__FRAME__BODY_DIGEST:
         on_digest(n, now, from, f->digest);
@@ -335,11 +345,11 @@
         on_buckets(n, from, f->buckets);
         return true;
     case WP__FRAME__BODY_RATINGS:
-        wp_node_ratings(n, now, f->ratings);
+        wp_node_on_ratings(n, now, f->ratings);
         return true;
     case WP__FRAME__BODY_HELLO:
-        if (take_member(n, now, f->hello->self))
-            wp_node_act(n, WP_ACT_MEMBERS);
+        if (merge_member(n, now, f->hello->self))
+            wp_node_queue_action(n, WP_ACT_MEMBERS);
         return false;
     default:
         return false;
--- a/src/wp_once.c
+++ b/src/wp_once.c
@@ -148,7 +148,7 @@
     const WPMemberRow *best = NULL;
     double best_score = -1;
     bool best_settled = false;
-    for (unsigned i = 0; i < wp_members_live(t); i++) {
+    for (unsigned i = 0; i < wp_members_live_count(t); i++) {
         const WPMemberRow *r = wp_members_live_at(t, i);
         if (r->m->role != WP__ROLE__ROLE_AGENT || r->m->leaving ||
             !serves(r->m->versions, r->m->n_versions, version))
@@ -251,7 +251,7 @@
                         const Wp__Member *self, const char *version)
 {
     unsigned others = 0;
-    for (unsigned i = 0; i < wp_members_live(t); i++) {
+    for (unsigned i = 0; i < wp_members_live_count(t); i++) {
         const Wp__Member *m = wp_members_live_at(t, i)->m;
         if (m->role != WP__ROLE__ROLE_AGENT || m->leaving ||
             !strcmp(m->id, self->id) ||
--- a/src/wp_pb.c
+++ b/src/wp_pb.c
@@ -1,4 +1,5 @@
-/* Messages from YAML and to JSON, led by protobuf-c's descriptors. */
+/* Conversion of messages from YAML and to JSON, driven by protobuf-c's
+ * descriptors. */
 #include "wp_pb.h"
 #include "wp_code.h"
 
@@ -17,10 +18,10 @@
 static bool read_message(Reader *r, yaml_node_t *node, ProtobufCMessage *m);
 
 static bool fail_at(Reader *r, yaml_node_t *node, const char *name,
-                    const char *want)
+                    const char *expected)
 {
     g_set_error(r->error, WP_ERROR, WP_ERROR_INPUT, "%s:%zu: %s: %s", r->file,
-                node->start_mark.line + 1, name, want);
+                node->start_mark.line + 1, name, expected);
     return false;
 }
 
@@ -44,7 +45,7 @@
     }
 }
 
-static bool read_whole(const char *s, int64_t *out)
+static bool read_int(const char *s, int64_t *out)
 {
     char *end;
     errno = 0;
@@ -59,7 +60,7 @@
     bool small = field_size(f) == 4;
     bool sign =
         f->type == PROTOBUF_C_TYPE_INT32 || f->type == PROTOBUF_C_TYPE_INT64;
-    if (!read_whole(s, &v) || (!sign && v < 0) ||
+    if (!read_int(s, &v) || (!sign && v < 0) ||
         (small && (v > UINT32_MAX || v < INT32_MIN)))
         return fail_at(r, node, f->name, "expected a whole number");
     if (small)
@@ -101,17 +102,17 @@
     case PROTOBUF_C_TYPE_DOUBLE:
         return read_double(r, node, f, s, at);
     case PROTOBUF_C_TYPE_BYTES:
-        return fail_at(r, node, f->name, "cannot be written here");
+        return fail_at(r, node, f->name, "bytes cannot be set from YAML");
     default:
         return read_number(r, node, f, s, at);
     }
 }
 
-static ProtobufCMessage *new_message(const ProtobufCMessageDescriptor *shape)
+static ProtobufCMessage *new_message(const ProtobufCMessageDescriptor *type)
 {
-    ProtobufCMessage *m = calloc(1, shape->sizeof_message);
+    ProtobufCMessage *m = calloc(1, type->sizeof_message);
     g_assert(m);
-    shape->message_init(m);
+    type->message_init(m);
     return m;
 }
 
@@ -124,7 +125,8 @@
     return read_message(r, node, sub);
 }
 
-static void *grow(ProtobufCMessage *m, Field *f)
+/* Appends a zeroed element to a repeated field and returns its address. */
+static void *append_element(ProtobufCMessage *m, Field *f)
 {
     size_t *n = (size_t *)((char *)m + f->quantifier_offset);
     char **items = (char **)WP_FIELD(m, f);
@@ -134,21 +136,22 @@
     return *items + (*n)++ * size;
 }
 
-/* A Label's two fields are its first; a mapping entry fills them. */
+/* Reads a mapping into a repeated Label, whose first two fields are key and
+   value. */
 static bool read_labels(Reader *r, yaml_node_t *node, Field *f,
                         ProtobufCMessage *m)
 {
     yaml_node_pair_t *p = node->data.mapping.pairs.start;
-    const ProtobufCMessageDescriptor *shape = f->descriptor;
+    const ProtobufCMessageDescriptor *type = f->descriptor;
     for (; p < node->data.mapping.pairs.top; p++) {
         yaml_node_t *k = yaml_document_get_node(&r->doc, p->key);
         yaml_node_t *v = yaml_document_get_node(&r->doc, p->value);
-        ProtobufCMessage *label = new_message(shape);
-        *(ProtobufCMessage **)grow(m, f) = label;
-        if (!read_scalar(r, k, &shape->fields[0],
-                         WP_FIELD(label, &shape->fields[0])) ||
-            !read_scalar(r, v, &shape->fields[1],
-                         WP_FIELD(label, &shape->fields[1])))
+        ProtobufCMessage *label = new_message(type);
+        *(ProtobufCMessage **)append_element(m, f) = label;
+        if (!read_scalar(r, k, &type->fields[0],
+                         WP_FIELD(label, &type->fields[0])) ||
+            !read_scalar(r, v, &type->fields[1],
+                         WP_FIELD(label, &type->fields[1])))
             return false;
     }
     return true;
@@ -165,31 +168,33 @@
         return fail_at(r, node, f->name, "expected a list");
     yaml_node_item_t *i = node->data.sequence.items.start;
     for (; i < node->data.sequence.items.top; i++)
-        if (!read_one(r, yaml_document_get_node(&r->doc, *i), f, grow(m, f)))
+        if (!read_one(r, yaml_document_get_node(&r->doc, *i), f,
+                      append_element(m, f)))
             return false;
     return true;
 }
 
-/* The field that `key` names; NULL, and an error, when there is none. */
+/* Returns the field that `key` names; NULL, with an error set, if there is
+   none. */
 static Field *find_field(Reader *r, yaml_node_t *key, const ProtobufCMessage *m)
 {
-    const ProtobufCMessageDescriptor *shape = m->descriptor;
+    const ProtobufCMessageDescriptor *type = m->descriptor;
     g_autoptr(GString) known = g_string_new("unknown; expected one of");
     if (key->type != YAML_SCALAR_NODE) {
-        fail_at(r, key, shape->short_name, "expected a field's name");
+        fail_at(r, key, type->short_name, "expected a field's name");
         return NULL;
     }
     const char *name = (const char *)key->data.scalar.value;
-    Field *f = protobuf_c_message_descriptor_get_field_by_name(shape, name);
-    for (unsigned i = 0; !f && i < shape->n_fields; i++)
-        g_string_append_printf(known, " %s", shape->fields[i].name);
+    Field *f = protobuf_c_message_descriptor_get_field_by_name(type, name);
+    for (unsigned i = 0; !f && i < type->n_fields; i++)
+        g_string_append_printf(known, " %s", type->fields[i].name);
     if (!f)
         fail_at(r, key, name, known->str);
     return f;
 }
 
-/* `field:` with nothing after it, as a template writes what it has no value
-   for. */
+/* Returns whether the node is `field:` without a value, as a template writes a
+   value that is not set. */
 static bool is_empty(const yaml_node_t *node)
 {
     return node->type == YAML_SCALAR_NODE && !node->data.scalar.length &&
@@ -245,7 +250,7 @@
     return !missing_field(r, node, m, seen);
 }
 
-ProtobufCMessage *wp_yaml_read(const ProtobufCMessageDescriptor *shape,
+ProtobufCMessage *wp_yaml_read(const ProtobufCMessageDescriptor *type,
                                WPStr text, const char *file, GError **error)
 {
     Reader r = { .file = file, .error = error };
@@ -267,7 +272,7 @@
                     file);
         goto done;
     }
-    m = new_message(shape);
+    m = new_message(type);
     if (!read_message(&r, root, m)) {
         wp_pb_free(m);
         m = NULL;
--- a/src/wp_plan.c
+++ b/src/wp_plan.c
@@ -36,18 +36,18 @@
 
 /* Versions of `set` without a free place; those without any endpoint leave
    the set as long as another is left. */
-static WPSet busy_versions(WPEntry *e, WPTime now, WPSet *set)
+static WPVersionSet busy_versions(WPEntry *e, WPTime now, WPVersionSet *set)
 {
-    WPSet busy = { 0 }, served = { 0 };
+    WPVersionSet busy = { 0 }, served = { 0 };
     for (unsigned i = 0; i < e->n_pools; i++) {
         const WPPool *pool = &e->pools[i];
-        if (!wp_set_has(set, i) || !(pool->near->len + pool->far->len))
+        if (!wp_version_set_has(set, i) || !(pool->near->len + pool->far->len))
             continue;
-        wp_set_add(&served, i);
+        wp_version_set_add(&served, i);
         if (!has_free_place(pool, now.mono_us))
-            wp_set_add(&busy, i);
+            wp_version_set_add(&busy, i);
     }
-    if (!wp_set_empty(&served))
+    if (!wp_version_set_empty(&served))
         *set = served;
     return busy;
 }
@@ -60,7 +60,7 @@
 
 /* The chooser's word on these versions. */
 static WPVersionChoice choose_among(WPEntry *e, WPTime now, const WPRequest *r,
-                                    const WPKind *kind, WPSet allowed,
+                                    const WPKind *kind, WPVersionSet allowed,
                                     bool may_explore)
 {
     WPVersionQuery c = {
@@ -106,17 +106,17 @@
 {
     const WPVersion *v = wp_policy_version(e->policy, r->version);
     const WPKind *kind = wp_policy_kind(e->policy, r->kind);
-    WPSet rest = r->allowed;
+    WPVersionSet rest = r->allowed;
     if (!v || !kind || r->sticky || r->step)
         return;
-    wp_set_add(&r->full, v->index);
-    for (unsigned w = 0; w < WP_SET_WORDS; w++)
+    wp_version_set_add(&r->full, v->index);
+    for (unsigned w = 0; w < WP_VERSION_SET_WORDS; w++)
         rest.w[w] &= ~r->full.w[w];
-    if (wp_set_empty(&rest))
+    if (wp_version_set_empty(&rest))
         return;
     WPVersionChoice got = choose_among(e, now, r, kind, rest, false);
     unsigned n = wp_policy_versions(e->policy);
-    if (got.version < 0 || !wp_set_has(&rest, (unsigned)got.version) ||
+    if (got.version < 0 || !wp_version_set_has(&rest, (unsigned)got.version) ||
         e->bounds[kind->index * n + (unsigned)got.version].low <
             kind->spec->quality_target)
         return;
@@ -126,12 +126,13 @@
     r->explored = false;
 }
 
-static void keep_service(const WPPolicy *p, const char *service, WPSet *set)
+static void keep_service(const WPPolicy *p, const char *service,
+                         WPVersionSet *set)
 {
     for (unsigned i = 0; i < wp_policy_versions(p); i++) {
         const char *s = wp_policy_version_at(p, i)->spec->service;
         if (!s || strcmp(s, service))
-            wp_set_remove(set, i);
+            wp_version_set_remove(set, i);
     }
 }
 
@@ -176,10 +177,10 @@
     wp_policy_allowed(e->policy, ws, kind, r->labels, &r->allowed);
     if (r->service)
         keep_service(e->policy, r->service, &r->allowed);
-    else if (!wp_policy_narrow(e->policy, r->model ? r->model : "auto",
-                               &r->allowed))
+    else if (!wp_policy_filter_model(e->policy, r->model ? r->model : "auto",
+                                     &r->allowed))
         return WP_UNKNOWN_MODEL;
-    return wp_set_empty(&r->allowed) ? WP_NO_VERSION : WP_OK;
+    return wp_version_set_empty(&r->allowed) ? WP_NO_VERSION : WP_OK;
 }
 
 /* Whether the version is being rolled out: the sooner it is known, the fewer
--- a/src/wp_policy.c
+++ b/src/wp_policy.c
@@ -1,18 +1,19 @@
-/* Compiles a configuration into a policy, and looks things up in it. */
+/* Compiles a configuration into a policy, and looks up its objects. */
 #include "wp_policy_int.h"
 #include "wp_pb.h"
 
-unsigned wp_set_count(const WPSet *s)
+unsigned wp_version_set_count(const WPVersionSet *s)
 {
     unsigned n = 0;
-    for (unsigned i = 0; i < WP_SET_WORDS; i++)
+    for (unsigned i = 0; i < WP_VERSION_SET_WORDS; i++)
         n += (unsigned)__builtin_popcountll(s->w[i]);
     return n;
 }
 
-static void problem(WPPolicy *p, const char *format, ...) G_GNUC_PRINTF(2, 3);
+static void add_problem(WPPolicy *p, const char *format, ...)
+    G_GNUC_PRINTF(2, 3);
 
-static void problem(WPPolicy *p, const char *format, ...)
+static void add_problem(WPPolicy *p, const char *format, ...)
 {
     va_list ap;
     va_start(ap, format);
@@ -26,7 +27,7 @@
         wp_labels_set(l, wp_str(items[i]->key), wp_str(items[i]->value));
 }
 
-static void set_name(WPPolicy *p, const char *key, unsigned index)
+static void index_name(WPPolicy *p, const char *key, unsigned index)
 {
     g_hash_table_insert(p->by_name, g_strdup(key), GUINT_TO_POINTER(index + 1));
 }
@@ -35,12 +36,12 @@
 {
     WPVersion v = { .index = p->versions->len, .spec = spec };
     if (v.index == WP_MAX_VERSIONS) {
-        problem(p, "version %s: more than %d versions", spec->name,
-                WP_MAX_VERSIONS);
+        add_problem(p, "version %s: more than %d versions", spec->name,
+                    WP_MAX_VERSIONS);
         return;
     }
     v.labels = wp_labels_new();
-    set_name(p, key, v.index);
+    index_name(p, key, v.index);
     g_array_append_val(p->versions, v);
 }
 
@@ -50,20 +51,20 @@
     WPWorkspace w = { .index = p->workspaces->len, .spec = spec };
     w.labels = wp_labels_new();
     set_labels(w.labels, spec->labels, spec->n_labels);
-    set_name(p, key, w.index);
+    index_name(p, key, w.index);
     for (size_t i = 0; i < spec->n_key_sha256; i++)
         g_hash_table_insert(p->by_key, spec->key_sha256[i],
                             GUINT_TO_POINTER(w.index + 1));
     g_array_append_val(p->workspaces, w);
 }
 
-static WPSelector *compile(WPPolicy *p, const char *what, const char *name,
-                           const char *text)
+static WPSelector *parse_selector(WPPolicy *p, const char *what,
+                                  const char *name, const char *text)
 {
     g_autoptr(GError) error = NULL;
     WPSelector *s = wp_selector_new(wp_str(text), &error);
     if (!s)
-        problem(p, "%s %s: %s", what, name, error->message);
+        add_problem(p, "%s %s: %s", what, name, error->message);
     return s;
 }
 
@@ -79,7 +80,7 @@
         break;
     case WP__OBJECT__SPEC_KIND: {
         WPKind k = { p->kinds->len, o->kind };
-        set_name(p, key, k.index);
+        index_name(p, key, k.index);
         g_array_append_val(p->kinds, k);
         break;
     }
@@ -87,8 +88,8 @@
         add_workspace(p, key, o->workspace);
         break;
     case WP__OBJECT__SPEC_RULE: {
-        WPLabelRule r = { o->rule,
-                          compile(p, "rule", o->rule->name, o->rule->match) };
+        WPLabelRule r = { o->rule, parse_selector(p, "rule", o->rule->name,
+                                                  o->rule->match) };
         g_array_append_val(p->rules, r);
         break;
     }
@@ -96,8 +97,8 @@
         WPSelectorRule s = { .spec = o->selector };
         s.deny = !strcmp(o->selector->effect, "deny");
         if (!s.deny && strcmp(o->selector->effect, "allow"))
-            problem(p, "selector %s: effect: expected allow or deny",
-                    o->selector->name);
+            add_problem(p, "selector %s: effect: expected allow or deny",
+                        o->selector->name);
         g_array_append_val(p->selectors, s);
         break;
     }
@@ -114,8 +115,8 @@
     }
 }
 
-bool wp_rules_run(const WPPolicy *p, const char *target, const WPLabels *over,
-                  WPLabels *labels)
+bool wp_rules_apply(const WPPolicy *p, const char *target,
+                    const WPLabels *overrides, WPLabels *labels)
 {
     bool changed = true;
     for (guint pass = 0; changed && pass <= p->rules->len; pass++) {
@@ -123,7 +124,7 @@
         for (guint i = 0; i < p->rules->len; i++) {
             const WPLabelRule *r = &g_array_index(p->rules, WPLabelRule, i);
             if (strcmp(r->spec->on, target) || !r->match ||
-                !wp_selector_match(r->match, over, labels))
+                !wp_selector_match(r->match, overrides, labels))
                 continue;
             for (size_t k = 0; k < r->spec->n_set; k++)
                 changed |= wp_labels_set(labels, wp_str(r->spec->set[k]->key),
@@ -143,46 +144,48 @@
     return NULL;
 }
 
-/* A version carries its model's labels, then its own, then those of rules. */
+/* Sets a version's labels: its model's, then its own, then those of rules.
+   Later ones replace earlier ones. */
 static void label_version(WPPolicy *p, WPVersion *v)
 {
     const Wp__Model *m = find_model(p, v->spec->model);
     if (m) {
         set_labels(v->labels, m->labels, m->n_labels);
         wp_labels_set(v->labels, wp_str("model"), wp_str(m->name));
-        if (!wp_rules_run(p, "model", NULL, v->labels))
-            problem(p, "rules on model %s undo each other", m->name);
+        if (!wp_rules_apply(p, "model", NULL, v->labels))
+            add_problem(p, "rules on model %s undo each other", m->name);
     } else if (v->spec->model) {
-        problem(p, "version %s: model %s is not configured", v->spec->name,
-                v->spec->model);
+        add_problem(p, "version %s: model %s is not configured", v->spec->name,
+                    v->spec->model);
     }
     set_labels(v->labels, v->spec->labels, v->spec->n_labels);
     wp_labels_set(v->labels, wp_str("version"), wp_str(v->spec->name));
     if (v->spec->service)
         wp_labels_set(v->labels, wp_str("service"), wp_str(v->spec->service));
-    if (!wp_rules_run(p, "version", NULL, v->labels))
-        problem(p, "rules on version %s undo each other", v->spec->name);
+    if (!wp_rules_apply(p, "version", NULL, v->labels))
+        add_problem(p, "rules on version %s undo each other", v->spec->name);
 }
 
 static void compile_selector(WPPolicy *p, WPSelectorRule *s)
 {
     WPSelector *versions =
-        compile(p, "selector", s->spec->name, s->spec->versions);
-    s->traffic = compile(p, "selector", s->spec->name, s->spec->traffic);
+        parse_selector(p, "selector", s->spec->name, s->spec->versions);
+    s->traffic = parse_selector(p, "selector", s->spec->name, s->spec->traffic);
     for (guint i = 0; i < p->versions->len; i++) {
         WPVersion *v = &g_array_index(p->versions, WPVersion, i);
-        bool hit =
+        bool matches =
             versions ? wp_selector_match(versions, NULL, v->labels) : s->deny;
-        if (hit)
-            wp_set_add(&s->versions, i);
+        if (matches)
+            wp_version_set_add(&s->versions, i);
     }
     wp_selector_free(versions);
-    /* A denial that cannot be read denies all: the safe side. */
+    /* A selector that denies and cannot be parsed denies all, as the safe
+       choice. */
     if (!s->traffic && s->deny)
         s->traffic = wp_selector_new(wp_str(""), NULL);
 }
 
-static void link_rollouts(WPPolicy *p)
+static void resolve_rollouts(WPPolicy *p)
 {
     for (guint i = p->rollouts->len; i-- > 0;) {
         WPRollout *r = &g_array_index(p->rollouts, WPRollout, i);
@@ -193,8 +196,8 @@
             r->to = to->index;
             continue;
         }
-        problem(p, "rollout %s: versions %s and %s must exist and differ",
-                r->spec->name, r->spec->from, r->spec->to);
+        add_problem(p, "rollout %s: versions %s and %s must exist and differ",
+                    r->spec->name, r->spec->from, r->spec->to);
         g_array_remove_index(p->rollouts, i);
     }
 }
@@ -206,21 +209,22 @@
     for (guint i = 0; i < p->rules->len; i++) {
         const WPLabelRule *r = &g_array_index(p->rules, WPLabelRule, i);
         if (!g_strv_contains(targets, r->spec->on))
-            problem(p,
-                    "rule %s: on: expected model, version, workspace or "
-                    "request",
-                    r->spec->name);
+            add_problem(p,
+                        "rule %s: on: expected model, version, workspace or "
+                        "request",
+                        r->spec->name);
     }
 }
 
-static void fill_table(WPPolicy *p)
+static void compute_allowed_table(WPPolicy *p)
 {
-    p->plain = g_new0(WPSet, p->workspaces->len * p->kinds->len + 1);
+    p->allowed_table =
+        g_new0(WPVersionSet, p->workspaces->len * p->kinds->len + 1);
     for (guint w = 0; w < p->workspaces->len; w++)
         for (guint k = 0; k < p->kinds->len; k++)
-            wp_allowed_slow(p, wp_policy_workspace_at(p, w),
-                            wp_policy_kind_at(p, k), NULL,
-                            &p->plain[w * p->kinds->len + k]);
+            wp_policy_compute_allowed(p, wp_policy_workspace_at(p, w),
+                                      wp_policy_kind_at(p, k), NULL,
+                                      &p->allowed_table[w * p->kinds->len + k]);
 }
 
 static void compile_all(WPPolicy *p)
@@ -230,13 +234,14 @@
         label_version(p, &g_array_index(p->versions, WPVersion, i));
     for (guint i = 0; i < p->workspaces->len; i++) {
         WPWorkspace *w = &g_array_index(p->workspaces, WPWorkspace, i);
-        if (!wp_rules_run(p, "workspace", NULL, w->labels))
-            problem(p, "rules on workspace %s undo each other", w->spec->name);
+        if (!wp_rules_apply(p, "workspace", NULL, w->labels))
+            add_problem(p, "rules on workspace %s undo each other",
+                        w->spec->name);
     }
     for (guint i = 0; i < p->selectors->len; i++)
         compile_selector(p, &g_array_index(p->selectors, WPSelectorRule, i));
-    link_rollouts(p);
-    fill_table(p);
+    resolve_rollouts(p);
+    compute_allowed_table(p);
 }
 
 WPPolicy *wp_policy_new(const WPConfig *c)
@@ -257,10 +262,10 @@
     p->by_key = g_hash_table_new(g_str_hash, g_str_equal);
     p->problems = g_ptr_array_new_with_free_func(g_free);
     /* The policy outlives the configuration's next change: keep a copy. */
-    p->own = wp_config_new();
-    wp_config_replace(p->own, copy);
+    p->config_copy = wp_config_new();
+    wp_config_apply_snapshot(p->config_copy, copy);
     wp_pb_free(copy);
-    wp_config_each(p->own, add_object, p);
+    wp_config_each(p->config_copy, add_object, p);
     compile_all(p);
     return p;
 }
@@ -300,8 +305,8 @@
     g_hash_table_unref(p->by_name);
     g_hash_table_unref(p->by_key);
     g_ptr_array_unref(p->problems);
-    wp_config_free(p->own);
-    g_free(p->plain);
+    wp_config_free(p->config_copy);
+    g_free(p->allowed_table);
     g_free(p);
 }
 
@@ -315,7 +320,7 @@
     return p->problems;
 }
 
-/* Index + 1 of KIND/NAME, or 0. */
+/* Returns the index + 1 of the object KIND/NAME, or 0. */
 static guint find(const WPPolicy *p, const char *kind, const char *name)
 {
     char key[256];
--- a/src/wp_policy.h
+++ b/src/wp_policy.h
@@ -1,44 +1,44 @@
-/* The configuration compiled for decisions: once per revision, so that a
- * request touches bit sets and small arrays only. */
+/* The configuration compiled for routing decisions, once per revision, so that
+ * a request needs only bit sets and small arrays. */
 #ifndef WP_POLICY_H
 #define WP_POLICY_H
 
 #include "wp_config.h"
 #include "wp_labels.h"
 
-enum { WP_MAX_VERSIONS = 256, WP_SET_WORDS = WP_MAX_VERSIONS / 64 };
+enum { WP_MAX_VERSIONS = 256, WP_VERSION_SET_WORDS = WP_MAX_VERSIONS / 64 };
 
 /* A set of versions, by their index in the policy. */
-typedef struct WPSet {
-    uint64_t w[WP_SET_WORDS];
-} WPSet;
+typedef struct WPVersionSet {
+    uint64_t w[WP_VERSION_SET_WORDS];
+} WPVersionSet;
 
-static inline void wp_set_add(WPSet *s, unsigned i)
+static inline void wp_version_set_add(WPVersionSet *s, unsigned i)
 {
     s->w[i / 64] |= 1ULL << (i % 64);
 }
 
-static inline void wp_set_remove(WPSet *s, unsigned i)
+static inline void wp_version_set_remove(WPVersionSet *s, unsigned i)
 {
     s->w[i / 64] &= ~(1ULL << (i % 64));
 }
 
-static inline bool wp_set_has(const WPSet *s, unsigned i)
+static inline bool wp_version_set_has(const WPVersionSet *s, unsigned i)
 {
     return s->w[i / 64] >> (i % 64) & 1;
 }
 
-static inline bool wp_set_empty(const WPSet *s)
+static inline bool wp_version_set_empty(const WPVersionSet *s)
 {
     return !(s->w[0] | s->w[1] | s->w[2] | s->w[3]);
 }
 
-unsigned wp_set_count(const WPSet *s);
+unsigned wp_version_set_count(const WPVersionSet *s);
 
 typedef struct WPVersion {
     unsigned index;
     const Wp__Version *spec; /* owned by the policy */
-    WPLabels *labels;        /* own, the model's, and those of rules */
+    WPLabels *labels;        /* its own, its model's, and those set by rules */
 } WPVersion;
 
 typedef struct WPKind {
@@ -57,11 +57,12 @@
     unsigned from, to; /* version indices */
 } WPRollout;
 
-/* Immutable once made; shared by reference. */
+/* Immutable after creation; reference-counted. */
 typedef struct WPPolicy WPPolicy;
 
-/* Never fails: what cannot be used is left out (an unreadable selector that
-   denies, denies all) and named in wp_policy_problems(). */
+/* Compiles a configuration. Never fails: objects that are invalid are left out
+   and named in wp_policy_problems(). A selector that denies and cannot be
+   parsed denies everything. */
 WPPolicy *wp_policy_new(const WPConfig *c);
 WPPolicy *wp_policy_ref(WPPolicy *p);
 void wp_policy_unref(WPPolicy *p);
@@ -69,6 +70,8 @@
 uint64_t wp_policy_revision(const WPPolicy *p);
 const GPtrArray *wp_policy_problems(const WPPolicy *p); /* of char * */
 
+/* Counts of objects; objects by an index below the count; objects by name, or
+   NULL. */
 unsigned wp_policy_versions(const WPPolicy *p);
 const WPVersion *wp_policy_version_at(const WPPolicy *p, unsigned i);
 const WPVersion *wp_policy_version(const WPPolicy *p, const char *name);
@@ -79,7 +82,8 @@
 const WPWorkspace *wp_policy_workspace_at(const WPPolicy *p, unsigned i);
 const WPWorkspace *wp_policy_workspace(const WPPolicy *p, const char *name);
 
-/* The workspace whose key has this SHA-256 in hex, or NULL. */
+/* Returns the workspace that has an API key with this SHA-256 digest, in hex,
+   or NULL. */
 const WPWorkspace *wp_policy_by_key(const WPPolicy *p, const char *sha256);
 
 unsigned wp_policy_rollouts(const WPPolicy *p);
@@ -87,23 +91,29 @@
 unsigned wp_policy_session_keys(const WPPolicy *p);
 const Wp__SessionKey *wp_policy_session_key_at(const WPPolicy *p, unsigned i);
 
-/* Versions that may serve this traffic; withdrawn ones are never in it.
-   `request` may be NULL. The workspace's own labels win over the request's. */
+/* Sets `out` to the versions that may serve a request of this workspace and
+   kind (NULL: none) with the labels `request`, which may be NULL. Withdrawn
+   versions are never included. The workspace's own labels take precedence over
+   the request's. */
 void wp_policy_allowed(const WPPolicy *p, const WPWorkspace *ws,
-                       const WPKind *kind, const WPLabels *request, WPSet *out);
+                       const WPKind *kind, const WPLabels *request,
+                       WPVersionSet *out);
 
-/* The same without what selectors allow that were changed after `at_ms`: what
-   a session that began then could have been given. */
-void wp_policy_allowed_since(const WPPolicy *p, const WPWorkspace *ws,
+/* Like wp_policy_allowed(), without the selectors that allow and were changed
+   after `at_ms` (Unix ms): the versions that a session that began then could
+   have been assigned. */
+void wp_policy_allowed_as_of(const WPPolicy *p, const WPWorkspace *ws,
                              const WPKind *kind, const WPLabels *request,
-                             uint64_t at_ms, WPSet *out);
+                             uint64_t at_ms, WPVersionSet *out);
 
-/* Narrows `set` to what `model` names: a version, a model, or all when it
-   names a kind or "auto". Returns false when nothing has that name. */
-bool wp_policy_narrow(const WPPolicy *p, const char *model, WPSet *set);
+/* Removes from `set` the versions that `model` does not name. It may be the
+   name of a version or of a model; the name of a kind, or "auto", stands for
+   all models. Returns false if nothing has that name. */
+bool wp_policy_filter_model(const WPPolicy *p, const char *model,
+                            WPVersionSet *set);
 
-/* Why each version may or may not serve the traffic: one line a version,
-   of char *; free with g_ptr_array_unref(). */
+/* Explains why each version may or may not serve the traffic. Returns one line
+   per version (char *); free with g_ptr_array_unref(). */
 GPtrArray *wp_policy_explain(const WPPolicy *p, const WPWorkspace *ws,
                              const WPKind *kind, const WPLabels *request);
 
--- a/src/wp_pools.c
+++ b/src/wp_pools.c
@@ -83,7 +83,7 @@
     make_pools(e);
     for (guint i = 0; i < e->all->len; i++)
         ((WPEndpoint *)e->all->pdata[i])->is_member = false;
-    for (unsigned i = 0; i < wp_members_live(t); i++) {
+    for (unsigned i = 0; i < wp_members_live_count(t); i++) {
         const WPMemberRow *r = wp_members_live_at(t, i);
         if (r->m->role != WP__ROLE__ROLE_AGENT)
             continue;
--- a/src/wp_rollout.c
+++ b/src/wp_rollout.c
@@ -261,10 +261,11 @@
 {
     for (unsigned w = 0; w < wp_policy_workspaces(p); w++) {
         for (unsigned k = 0; k < wp_policy_kinds(p); k++) {
-            WPSet set;
+            WPVersionSet set;
             wp_policy_allowed(p, wp_policy_workspace_at(p, w),
                               wp_policy_kind_at(p, k), NULL, &set);
-            if (wp_set_has(&set, version) && wp_set_count(&set) == 1)
+            if (wp_version_set_has(&set, version) &&
+                wp_version_set_count(&set) == 1)
                 return true;
         }
     }
--- a/src/wp_route.c
+++ b/src/wp_route.c
@@ -1,4 +1,4 @@
-/* The table of routes. */
+/* The routing table. */
 #include "wp_route.h"
 
 enum {
@@ -95,7 +95,8 @@
     g_array_append_val(s->models, m);
 }
 
-/* Host names do not depend on case; a space cannot occur in either part. */
+/* Returns the key of `by_path`. Host names are case-insensitive; the space that
+   separates the parts cannot occur in either. */
 static char *path_key(WPStr host, const char *prefix, size_t n)
 {
     g_autofree char *lower = g_ascii_strdown(host.p, (gssize)host.n);
@@ -113,7 +114,7 @@
     r->max_attempts = 1;
     r->models = g_ptr_array_new_with_free_func(g_free);
     r->areas = g_ptr_array_new_with_free_func(g_free);
-    r->targets = g_array_new(FALSE, FALSE, sizeof(WPTarget));
+    r->targets = g_array_new(FALSE, FALSE, sizeof(WPRouteTarget));
     t->longest_prefix = MAX(t->longest_prefix, n);
     g_ptr_array_add(t->routes, r);
     g_hash_table_replace(t->by_path, path_key(wp_str(host), prefix, n), r);
@@ -126,7 +127,7 @@
     const WPService *s = wp_routes_service(t, service);
     if (!s)
         return false;
-    WPTarget target = { s->index, weight };
+    WPRouteTarget target = { s->index, weight };
     g_array_append_val(r->targets, target);
     return true;
 }
@@ -138,7 +139,7 @@
     c->priority = priority;
     c->areas = g_ptr_array_new_with_free_func(g_free);
     g_ptr_array_add(t->callers, c);
-    t->keyed = true;
+    t->requires_keys = true;
     return c;
 }
 
@@ -150,7 +151,8 @@
 const WPRoute *wp_routes_find(const WPRoutes *t, WPStr host, WPStr path)
 {
     size_t n = MIN(path.n, t->longest_prefix);
-    /* Prefixes end in a slash, so only the slashes of the path can end one. */
+    /* Prefixes end in a slash, so only a part of the path that ends in a slash
+       can be one. */
     for (; n > 0; n--) {
         if (path.p[n - 1] != '/')
             continue;
@@ -162,7 +164,7 @@
     return NULL;
 }
 
-const WPCaller *wp_routes_caller(const WPRoutes *t, WPStr key)
+const WPCaller *wp_routes_caller_by_key(const WPRoutes *t, WPStr key)
 {
     g_autofree char *k = g_strndup(key.p, key.n);
     return g_hash_table_lookup(t->by_key, k);
@@ -179,14 +181,16 @@
                                     : NULL;
 }
 
-const WPService *wp_route_pick(const WPRoutes *t, const WPRoute *r, double unit)
+const WPService *wp_route_pick_service(const WPRoutes *t, const WPRoute *r,
+                                       double unit)
 {
     double sum = 0;
     for (guint i = 0; i < r->targets->len; i++)
-        sum += g_array_index(r->targets, WPTarget, i).weight;
+        sum += g_array_index(r->targets, WPRouteTarget, i).weight;
     double at = unit * sum;
     for (guint i = 0; i < r->targets->len; i++) {
-        const WPTarget *target = &g_array_index(r->targets, WPTarget, i);
+        const WPRouteTarget *target =
+            &g_array_index(r->targets, WPRouteTarget, i);
         at -= target->weight;
         if (at < 0 && target->weight > 0)
             return wp_routes_service_at(t, target->service);
