--- a/src/wp_route.h
+++ b/src/wp_route.h
@@ -1,71 +1,77 @@
-/* Where requests go: routes by host and path prefix, the services behind
- * them, the callers' keys and the limits, as one immutable table. Operators
- * replace it as a whole; a higher version replaces a lower one. */
+/* The routing table: routes by host and path prefix, the services behind them,
+ * the callers' API keys and the limits. It is immutable, and operators replace
+ * it as a whole; a higher version replaces a lower one. */
 #ifndef WP_ROUTE_H
 #define WP_ROUTE_H
 
 #include "wp_base.h"
 
-/* What may happen to a request whose outcome is unknown. */
-typedef enum WPRepeat {
-    WP_REPEAT_NEVER, /* runs at most once */
-    WP_REPEAT_SAFE,  /* may run again from its start */
-    WP_REPEAT_STREAM /* a stream of events; see WPRoute.resumable */
-} WPRepeat;
+/* Whether a request whose outcome is unknown may be sent again. */
+typedef enum WPRetryPolicy {
+    WP_RETRY_NEVER, /* runs at most once */
+    WP_RETRY_SAFE,  /* may run again from its start */
+    WP_RETRY_STREAM /* a stream of events; see WPRoute.resumable */
+} WPRetryPolicy;
 
 typedef struct WPModel {
     char *name;
-    double cost; /* price of 1,000 tokens made; only ratios matter */
+    double cost; /* price of 1,000 generated tokens; only ratios matter */
 } WPModel;
 
 typedef struct WPService {
     char *name;
-    uint32_t index;           /* its place in the table */
-    uint32_t max_connections; /* an endpoint's, from all boxes together */
-    uint32_t slots; /* requests an engine runs at once; 0: not an engine */
-    uint64_t memory_tokens; /* an engine's; 0: not an engine */
-    double cold_per_s;      /* requests that an endpoint bears while it is cold;
-                               0: it needs no pacing */
-    double cold_start_s;    /* how long it is cold after a start */
-    GArray *models;         /* WPModel */
+    uint32_t index;           /* its index in WPRoutes.services */
+    uint32_t max_connections; /* of one endpoint, from all boxes together */
+    uint32_t slots; /* requests that an engine runs at once; 0: not an engine */
+    uint64_t kv_cache_tokens; /* tokens that an engine's KV cache holds; 0: not
+                                 an engine */
+    double cold_per_s; /* requests per second that an endpoint can take while it
+                          is cold; 0: no cold-start pacing */
+    double cold_start_s; /* seconds that an endpoint is cold after its start */
+    GArray *models;      /* WPModel */
 } WPService;
 
-typedef struct WPTarget {
+typedef struct WPRouteTarget {
     uint32_t service;
-    double weight; /* share of the route's requests, against the others' */
-} WPTarget;
+    double weight; /* share of the route's requests, relative to the other
+                      weights */
+} WPRouteTarget;
 
 typedef struct WPRoute {
     char *name, *host, *prefix;
-    WPRepeat repeat;
-    uint32_t timeout_ms; /* the longest a request is held; 0: no bound */
-    uint32_t aim_ms;     /* to the whole answer, or a stream's first event */
-    uint32_t gap_ms;     /* the longest pause between events that is in time */
-    int priority;        /* 0 is the most urgent */
+    WPRetryPolicy retry_policy;
+    uint32_t timeout_ms;        /* longest duration of a request; 0: no bound */
+    uint32_t target_latency_ms; /* target time to the complete answer, or to a
+                                   stream's first event */
+    uint32_t max_event_gap_ms; /* longest event gap of a stream that is still in
+                                  time */
+    int priority;              /* 0 is the most urgent */
     uint32_t max_attempts;
-    bool anonymous;    /* no key is asked for */
-    bool resumable;    /* a stream may go on at another endpoint */
-    GPtrArray *models; /* char *, the smallest first; empty: as asked */
-    GPtrArray *areas;  /* char *, where it may be served; empty: anywhere */
-    GArray *targets;   /* WPTarget */
+    bool anonymous; /* no API key is required */
+    bool resumable; /* an interrupted stream may continue at another endpoint */
+    GPtrArray *models; /* char *, the smallest first; empty: the model that the
+                          request names */
+    GPtrArray *areas;  /* char *, where requests may be served; empty:
+                          anywhere */
+    GArray *targets;   /* WPRouteTarget */
 } WPRoute;
 
 typedef struct WPCaller {
     char *workspace;
-    int priority;     /* -1: the route's */
-    GPtrArray *areas; /* as a route's; both bind */
+    int priority;     /* -1: use the route's */
+    GPtrArray *areas; /* like a route's; both restrictions apply */
 } WPCaller;
 
 typedef struct WPRouteLimits {
     uint32_t head_bytes, body_bytes;
-    uint32_t head_ms; /* to send a whole head */
+    uint32_t head_ms; /* to send the complete request head */
     uint32_t idle_ms; /* between requests of a connection */
 } WPRouteLimits;
 
 typedef struct WPRoutes {
     int refs;
     uint64_t version;
-    bool keyed; /* callers need keys */
+    bool requires_keys; /* callers need API keys */
     WPRouteLimits limits;
     GPtrArray *routes;      /* WPRoute */
     GPtrArray *services;    /* WPService */
@@ -76,38 +82,44 @@
     size_t longest_prefix;
 } WPRoutes;
 
-/* An empty table with the default limits; filled by the functions below,
-   then not changed any more. */
+/* Returns an empty table with the default limits. It is filled by the functions
+   below and not changed after that. */
 WPRoutes *wp_routes_new(uint64_t version);
 WPRoutes *wp_routes_ref(WPRoutes *t);
 void wp_routes_unref(WPRoutes *t);
 
 WPService *wp_routes_add_service(WPRoutes *t, const char *name);
 void wp_service_add_model(WPService *s, const char *name, double cost);
+
+/* Adds a route for `host` and the paths that begin with `prefix`, which ends in
+   a slash. */
 WPRoute *wp_routes_add(WPRoutes *t, const char *name, const char *host,
                        const char *prefix);
-/* False when there is no such service. */
+
+/* Adds a service to the targets of a route. Returns false if the table has no
+   such service. */
 bool wp_route_add_target(WPRoutes *t, WPRoute *r, const char *service,
                          double weight);
 WPCaller *wp_routes_add_caller(WPRoutes *t, const char *workspace,
                                int priority);
 void wp_routes_add_key(WPRoutes *t, const char *key, WPCaller *c);
 
-/* The route of that host with the longest prefix of the path, or NULL. */
+/* Returns the route of `host` with the longest prefix of `path`, or NULL. */
 const WPRoute *wp_routes_find(const WPRoutes *t, WPStr host, WPStr path);
 
-/* The holder of a key, or NULL. */
-const WPCaller *wp_routes_caller(const WPRoutes *t, WPStr key);
+/* Returns the caller that the API key belongs to, or NULL. */
+const WPCaller *wp_routes_caller_by_key(const WPRoutes *t, WPStr key);
 
 const WPService *wp_routes_service(const WPRoutes *t, const char *name);
 const WPService *wp_routes_service_at(const WPRoutes *t, uint32_t index);
 
-/* The service for one request; `unit` in [0, 1) divides by weight. NULL when
-   the route has none. */
-const WPService *wp_route_pick(const WPRoutes *t, const WPRoute *r,
-                               double unit);
+/* Picks the service for one request, in proportion to the weights; `unit` is
+   uniform in [0, 1). Returns NULL if the route has no target with a weight
+   above 0. */
+const WPService *wp_route_pick_service(const WPRoutes *t, const WPRoute *r,
+                                       double unit);
 
-/* The price of 1,000 tokens of a model; 0 when it is not known. */
+/* Returns the price of 1,000 tokens of a model; 0 if it is unknown. */
 double wp_service_cost(const WPService *s, const char *model);
 
 #endif
--- a/src/wp_session.c
+++ b/src/wp_session.c
@@ -117,28 +117,29 @@
 }
 
 void wp_rollout_narrow(const WPPolicy *p, WPStr key, uint64_t start_ms,
-                       WPSet *set)
+                       WPVersionSet *set)
 {
     for (unsigned i = 0; i < wp_policy_rollouts(p); i++) {
         const WPRollout *r = wp_policy_rollout_at(p, i);
-        if (!wp_set_has(set, r->from) || !wp_set_has(set, r->to))
+        if (!wp_version_set_has(set, r->from) ||
+            !wp_version_set_has(set, r->to))
             continue;
         uint64_t seed = wp_hash(wp_str(r->spec->name), 0);
         bool to = wp_hash_unit(key, seed) < share_at(r->spec, start_ms);
-        wp_set_remove(set, to ? r->from : r->to);
+        wp_version_set_remove(set, to ? r->from : r->to);
     }
 }
 
 /* Same successor on every box: the highest rendezvous score of what is left
    among versions that meet the kind's target by the operators' word. */
-static int hash_pick(const WPPolicy *p, const WPKind *kind, const WPSet *set,
-                     uint64_t key)
+static int hash_pick(const WPPolicy *p, const WPKind *kind,
+                     const WPVersionSet *set, uint64_t key)
 {
     int best = -1;
     double best_score = -1;
     for (unsigned i = 0; i < wp_policy_versions(p); i++) {
         const Wp__Version *v = wp_policy_version_at(p, i)->spec;
-        if (!wp_set_has(set, i))
+        if (!wp_version_set_has(set, i))
             continue;
         double score = wp_rendezvous(wp_str(v->name), key, 1);
         if (kind && v->quality_prior < kind->spec->quality_target)
@@ -153,21 +154,22 @@
 
 /* Leaves out what was added after the session began; without a known start,
    all but the oldest, so that nothing added later can move the session. */
-static WPSet known_at(const WPPolicy *p, const WPSet *set, uint64_t start_ms)
+static WPVersionSet known_at(const WPPolicy *p, const WPVersionSet *set,
+                             uint64_t start_ms)
 {
-    WPSet out = { 0 };
+    WPVersionSet out = { 0 };
     uint64_t bound = start_ms;
     for (int pass = 0; pass < 2; pass++) {
         uint64_t oldest = UINT64_MAX;
         for (unsigned i = 0; i < wp_policy_versions(p); i++) {
             uint64_t added = wp_policy_version_at(p, i)->spec->added_ms;
-            if (!wp_set_has(set, i))
+            if (!wp_version_set_has(set, i))
                 continue;
             oldest = MIN(oldest, added);
             if (added <= bound)
-                wp_set_add(&out, i);
+                wp_version_set_add(&out, i);
         }
-        if (!wp_set_empty(&out))
+        if (!wp_version_set_empty(&out))
             break;
         bound = oldest;
     }
@@ -176,48 +178,48 @@
 
 /* Of what is allowed now, what was allowed when the session began; all of it
    when nothing of that is left. */
-static WPSet allowed_then(const WPPolicy *p, const WPKind *kind,
-                          const WPSet *allowed, const WPSessionAsk *ask,
-                          uint64_t start_ms)
+static WPVersionSet allowed_then(const WPPolicy *p, const WPKind *kind,
+                                 const WPVersionSet *allowed,
+                                 const WPSessionAsk *ask, uint64_t start_ms)
 {
-    WPSet then;
-    wp_policy_allowed_since(p, ask->workspace, kind, ask->labels, start_ms,
+    WPVersionSet then;
+    wp_policy_allowed_as_of(p, ask->workspace, kind, ask->labels, start_ms,
                             &then);
-    for (unsigned w = 0; w < WP_SET_WORDS; w++)
+    for (unsigned w = 0; w < WP_VERSION_SET_WORDS; w++)
         then.w[w] &= allowed->w[w];
-    return wp_set_empty(&then) ? *allowed : then;
+    return wp_version_set_empty(&then) ? *allowed : then;
 }
 
 /* The cheapest that meets the target by the operators' word; ties and a set
    with none that meets it go by hash. */
 static int place_by_id(const WPPolicy *p, const WPKind *kind,
-                       const WPSet *allowed, const WPSessionAsk *ask,
+                       const WPVersionSet *allowed, const WPSessionAsk *ask,
                        uint64_t start_ms)
 {
     WPStr id = ask->id;
-    WPSet then = allowed_then(p, kind, allowed, ask, start_ms);
-    WPSet set = known_at(p, &then, start_ms);
-    WPSet cheap = { 0 };
+    WPVersionSet then = allowed_then(p, kind, allowed, ask, start_ms);
+    WPVersionSet set = known_at(p, &then, start_ms);
+    WPVersionSet cheap = { 0 };
     double best = G_MAXDOUBLE;
     wp_rollout_narrow(p, id, start_ms, &set);
     for (unsigned i = 0; i < wp_policy_versions(p); i++) {
         const Wp__Version *v = wp_policy_version_at(p, i)->spec;
-        if (!wp_set_has(&set, i) ||
+        if (!wp_version_set_has(&set, i) ||
             (kind && v->quality_prior < kind->spec->quality_target))
             continue;
         if (v->cost_out < best)
             memset(&cheap, 0, sizeof(cheap));
         if (v->cost_out <= best) {
             best = v->cost_out;
-            wp_set_add(&cheap, i);
+            wp_version_set_add(&cheap, i);
         }
     }
-    return hash_pick(p, kind, wp_set_empty(&cheap) ? &set : &cheap,
+    return hash_pick(p, kind, wp_version_set_empty(&cheap) ? &set : &cheap,
                      wp_hash(id, 0));
 }
 
 static WPSessionPlace place_by_claim(const WPPolicy *p, const WPKind *kind,
-                                     const WPSet *allowed,
+                                     const WPVersionSet *allowed,
                                      const Wp__SessionClaim *c)
 {
     WPSessionPlace out = { -1, false, c->start_ms };
@@ -225,14 +227,14 @@
     const WPVersion *v = wp_policy_version(p, c->version);
     /* A version that was withdrawn since the session began is not returned
        to when it comes back. */
-    if (v && wp_set_has(allowed, v->index) &&
+    if (v && wp_version_set_has(allowed, v->index) &&
         v->spec->withdrawn_ms <= c->start_ms) {
         out.version = (int)v->index;
         return out;
     }
-    WPSet rest = *allowed;
+    WPVersionSet rest = *allowed;
     if (v)
-        wp_set_remove(&rest, v->index);
+        wp_version_set_remove(&rest, v->index);
     wp_rollout_narrow(p, nonce, c->start_ms, &rest);
     out.moved = true;
     out.version = hash_pick(p, kind, &rest, wp_hash(nonce, 0));
@@ -240,7 +242,8 @@
 }
 
 WPSessionPlace wp_session_place(const WPPolicy *p, const WPKind *kind,
-                                const WPSet *allowed, const WPSessionAsk *ask)
+                                const WPVersionSet *allowed,
+                                const WPSessionAsk *ask)
 {
     WPSessionPlace out = { -1, false, ask->now_ms };
     if (ask->claim) {
--- a/src/wp_session.h
+++ b/src/wp_session.h
@@ -36,11 +36,12 @@
 /* The version of this session out of `allowed`; every box gives the same
    answer at the same revision. */
 WPSessionPlace wp_session_place(const WPPolicy *p, const WPKind *kind,
-                                const WPSet *allowed, const WPSessionAsk *ask);
+                                const WPVersionSet *allowed,
+                                const WPSessionAsk *ask);
 
 /* For each roll-out of which both versions are in `set`, leaves the one that
    `key` falls to, given the share in force when it began. */
 void wp_rollout_narrow(const WPPolicy *p, WPStr key, uint64_t start_ms,
-                       WPSet *set);
+                       WPVersionSet *set);
 
 #endif
--- a/src/wp_settings.c
+++ b/src/wp_settings.c
@@ -1,11 +1,11 @@
-/* Ranges of settings. Units stand in the fields' names. */
+/* Ranges of settings. The unit is part of the field's name. */
 #include "wp_settings.h"
 #include "wp_code.h"
 
 typedef struct Range {
     const char *field;
-    double least, most;
-    const char *words; /* allowed words, separated by spaces; or NULL */
+    double min, max;
+    const char *allowed; /* allowed strings, separated by spaces; or NULL */
 } Range;
 
 static const Range ranges[] = {
@@ -73,7 +73,7 @@
     { "duty_lease_ms", 1, 600000, NULL },
 };
 
-static const Range *range_of(const char *field)
+static const Range *find_range(const char *field)
 {
     for (size_t i = 0; i < WP_COUNT(ranges); i++)
         if (!strcmp(ranges[i].field, field))
@@ -81,8 +81,8 @@
     return NULL;
 }
 
-static bool is_number(const ProtobufCFieldDescriptor *f, const void *at,
-                      double *out)
+static bool numeric_value(const ProtobufCFieldDescriptor *f, const void *at,
+                          double *out)
 {
     switch (f->type) {
     case PROTOBUF_C_TYPE_UINT32:
@@ -102,36 +102,38 @@
     }
 }
 
-static bool is_word(const char *words, const char *word)
+static bool is_allowed(const char *allowed, const char *value)
 {
-    g_auto(GStrv) list = g_strsplit(words, " ", -1);
-    return g_strv_contains((const char *const *)list, word);
+    g_auto(GStrv) list = g_strsplit(allowed, " ", -1);
+    return g_strv_contains((const char *const *)list, value);
 }
 
 static bool check_field(const ProtobufCFieldDescriptor *f, const void *at,
                         const char *file, GError **error)
 {
-    const Range *r = range_of(f->name);
+    const Range *r = find_range(f->name);
     double v;
     if (!r)
         return true;
-    if (r->words && f->type == PROTOBUF_C_TYPE_STRING &&
-        !is_word(r->words, *(char *const *)at)) {
+    if (r->allowed && f->type == PROTOBUF_C_TYPE_STRING &&
+        !is_allowed(r->allowed, *(char *const *)at)) {
         g_set_error(error, WP_ERROR, WP_ERROR_INPUT,
-                    "%s: %s: expected one of: %s", file, f->name, r->words);
+                    "%s: %s: expected one of: %s", file, f->name, r->allowed);
         return false;
     }
-    /* Written so that what is not a number fails as well. */
-    if (!r->words && is_number(f, at, &v) && !(v >= r->least && v <= r->most)) {
+    /* Written so that NaN fails as well. */
+    if (!r->allowed && numeric_value(f, at, &v) &&
+        !(v >= r->min && v <= r->max)) {
         g_set_error(error, WP_ERROR, WP_ERROR_INPUT,
-                    "%s: %s: expected %g to %g, not %g", file, f->name,
-                    r->least, r->most, v);
+                    "%s: %s: expected %g to %g, not %g", file, f->name, r->min,
+                    r->max, v);
         return false;
     }
     return true;
 }
 
-static bool check(const ProtobufCMessage *m, const char *file, GError **error)
+static bool check_message(const ProtobufCMessage *m, const char *file,
+                          GError **error)
 {
     for (unsigned i = 0; i < m->descriptor->n_fields; i++) {
         const ProtobufCFieldDescriptor *f = &m->descriptor->fields[i];
@@ -140,7 +142,7 @@
             continue;
         if (f->type == PROTOBUF_C_TYPE_MESSAGE) {
             const ProtobufCMessage *sub = *(ProtobufCMessage *const *)at;
-            if (sub && !check(sub, file, error))
+            if (sub && !check_message(sub, file, error))
                 return false;
         } else if (!check_field(f, at, file, error)) {
             return false;
@@ -149,26 +151,26 @@
     return true;
 }
 
-void *wp_settings_read(const ProtobufCMessageDescriptor *shape, WPStr text,
+void *wp_settings_read(const ProtobufCMessageDescriptor *type, WPStr text,
                        const char *file, GError **error)
 {
-    ProtobufCMessage *m = wp_yaml_read(shape, text, file, error);
-    if (m && !check(m, file, error)) {
+    ProtobufCMessage *m = wp_yaml_read(type, text, file, error);
+    if (m && !check_message(m, file, error)) {
         wp_pb_free(m);
         return NULL;
     }
     return m;
 }
 
-static void help_into(const ProtobufCMessageDescriptor *shape, GString *out)
+static void append_help(const ProtobufCMessageDescriptor *type, GString *out)
 {
-    for (unsigned i = 0; i < shape->n_fields; i++) {
-        const ProtobufCFieldDescriptor *f = &shape->fields[i];
-        const Range *r = range_of(f->name);
+    for (unsigned i = 0; i < type->n_fields; i++) {
+        const ProtobufCFieldDescriptor *f = &type->fields[i];
+        const Range *r = find_range(f->name);
         if (f->type == PROTOBUF_C_TYPE_MESSAGE &&
             f->label != PROTOBUF_C_LABEL_REPEATED) {
             g_string_append_printf(out, "%s:\n", f->name);
-            help_into(f->descriptor, out);
+            append_help(f->descriptor, out);
             continue;
         }
         g_string_append_printf(
@@ -176,17 +178,17 @@
             f->label == PROTOBUF_C_LABEL_REQUIRED   ? "required"
             : f->label == PROTOBUF_C_LABEL_REPEATED ? "list"
                                                     : "optional");
-        if (r && r->words)
-            g_string_append_printf(out, ", one of: %s", r->words);
+        if (r && r->allowed)
+            g_string_append_printf(out, ", one of: %s", r->allowed);
         else if (r)
-            g_string_append_printf(out, ", %g to %g", r->least, r->most);
+            g_string_append_printf(out, ", %g to %g", r->min, r->max);
         g_string_append_c(out, '\n');
     }
 }
 
-char *wp_settings_help(const ProtobufCMessageDescriptor *shape)
+char *wp_settings_help(const ProtobufCMessageDescriptor *type)
 {
     GString *out = g_string_new(NULL);
-    help_into(shape, out);
+    append_help(type, out);
     return g_string_free(out, FALSE);
 }
--- a/src/wp_settings.h
+++ b/src/wp_settings.h
@@ -1,15 +1,16 @@
-/* Checks of settings that their shapes cannot express: ranges, from one
- * table, and words out of a list. */
+/* Validation of settings beyond their message types: numeric ranges and lists
+ * of allowed strings, from one table. */
 #ifndef WP_SETTINGS_H
 #define WP_SETTINGS_H
 
 #include "wp_pb.h"
 
-/* Reads and checks one settings document; see wp_yaml_read(). */
-void *wp_settings_read(const ProtobufCMessageDescriptor *shape, WPStr text,
+/* Parses and validates one settings document; see wp_yaml_read(). */
+void *wp_settings_read(const ProtobufCMessageDescriptor *type, WPStr text,
                        const char *file, GError **error);
 
-/* The table as text, a line a field: name, unit, range. */
-char *wp_settings_help(const ProtobufCMessageDescriptor *shape);
+/* Returns a description of the settings as text, one line per field: its name,
+   whether it is required, and its range; free with g_free(). */
+char *wp_settings_help(const ProtobufCMessageDescriptor *type);
 
 #endif
--- a/src/wp_share.c
+++ b/src/wp_share.c
@@ -1,38 +1,42 @@
 /* Shares by weight. */
 #include "wp_share.h"
 
-/* What is left of an exact share after its whole ones, if not by rounding. */
-#define PART_LEAST 1e-9
+/* Smallest fractional part of an exact share that is not taken for a rounding
+   error. */
+#define FRACTION_MIN 1e-9
 
-static double fraction_of(const WPShare *s, size_t n, double sum, unsigned part,
-                          unsigned *whole)
+static double fraction_of(const WPShare *s, size_t n, double sum,
+                          unsigned total, unsigned *units)
 {
-    double exact = sum > 0 ? part * s->weight / sum : (double)part / (double)n;
-    *whole = (unsigned)(exact + PART_LEAST);
-    return MAX(exact - *whole, 0);
+    double exact =
+        sum > 0 ? total * s->weight / sum : (double)total / (double)n;
+    *units = (unsigned)(exact + FRACTION_MIN);
+    return MAX(exact - *units, 0);
 }
 
-unsigned wp_share_of(const WPShare *all, size_t n, size_t self, unsigned part,
+unsigned wp_share_of(const WPShare *all, size_t n, size_t self, unsigned total,
                      uint64_t seed)
 {
     double sum = 0, own_score = 0;
-    unsigned own = 0, given = 0, before = 0;
+    unsigned own = 0, assigned = 0, preceding = 0;
     g_autofree double *score = g_new0(double, n);
     for (size_t i = 0; i < n; i++)
         sum += all[i].weight;
     for (size_t i = 0; i < n; i++) {
-        unsigned whole;
-        double rest = fraction_of(&all[i], n, sum, part, &whole);
-        given += whole;
+        unsigned units;
+        double fraction = fraction_of(&all[i], n, sum, total, &units);
+        assigned += units;
         WPStr key = wp_strn((const char *)&all[i].key, sizeof(all[i].key));
-        score[i] = rest > PART_LEAST ? wp_rendezvous(key, seed, rest) : 0;
+        score[i] =
+            fraction > FRACTION_MIN ? wp_rendezvous(key, seed, fraction) : 0;
         if (i != self)
             continue;
-        own = whole;
+        own = units;
         own_score = score[i];
     }
     for (size_t i = 0; i < n; i++)
-        before += score[i] > own_score;
-    bool gets_one = own_score > 0 && given < part && before < part - given;
-    return own + gets_one;
+        preceding += score[i] > own_score;
+    bool gets_remainder =
+        own_score > 0 && assigned < total && preceding < total - assigned;
+    return own + gets_remainder;
 }
--- a/src/wp_witness.c
+++ b/src/wp_witness.c
@@ -63,7 +63,7 @@
     uint64_t key = wp_hash(wp_str(self->id), 0);
     const WPMemberRow *best = NULL;
     double best_score = 0;
-    for (unsigned i = 0; i < wp_members_live(t); i++) {
+    for (unsigned i = 0; i < wp_members_live_count(t); i++) {
         const WPMemberRow *r = wp_members_live_at(t, i);
         if (r->m->role != WP__ROLE__ROLE_ENTRY || r->m->leaving ||
             !strcmp(r->m->id, self->id))
--- a/tests/direct_fake.h
+++ b/tests/direct_fake.h
@@ -31,16 +31,16 @@
     wp_service_add_model(llm, "small", 0.01);
     wp_service_add_model(llm, "large", 0.2);
     WPRoute *chat = wp_routes_add(t, "chat", "h.example", "/chat/");
-    chat->repeat = WP_REPEAT_STREAM;
+    chat->retry_policy = WP_RETRY_STREAM;
     chat->resumable = true;
     chat->max_attempts = 3;
     chat->timeout_ms = 20000;
-    chat->aim_ms = 2000;
+    chat->target_latency_ms = 2000;
     g_ptr_array_add(chat->models, g_strdup("small"));
     g_ptr_array_add(chat->models, g_strdup("large"));
     wp_route_add_target(t, chat, "llm", 1);
     WPRoute *safe = wp_routes_add(t, "safe", "h.example", "/safe/");
-    safe->repeat = WP_REPEAT_SAFE;
+    safe->retry_policy = WP_RETRY_SAFE;
     safe->max_attempts = 2;
     safe->timeout_ms = 2000;
     wp_route_add_target(t, safe, "app", 1);
@@ -55,13 +55,13 @@
 static inline void fake_put(Fake *k, const char *id, const char *service,
                             const char *version, bool draining)
 {
-    WPListing l = { .id = id,
-                    .service = service,
-                    .addr = "127.0.0.1:1",
-                    .zone = "z1",
-                    .version = version,
-                    .slots = 8,
-                    .draining = draining };
+    WPRegistryEntry l = { .id = id,
+                          .service = service,
+                          .addr = "127.0.0.1:1",
+                          .zone = "z1",
+                          .version = version,
+                          .slots = 8,
+                          .draining = draining };
     wp_fleet_put(k->d.fleet, k->now, &l);
 }
 
--- a/tests/entry_fake.h
+++ b/tests/entry_fake.h
@@ -31,7 +31,7 @@
 static inline void fake_drain(Fake *f)
 {
     WPAction *a;
-    while ((a = wp_node_next(f->node)))
+    while ((a = wp_node_next_action(f->node)))
         wp_action_free(a);
 }
 
@@ -43,7 +43,7 @@
     all.members = &m;
     frame.body_case = WP__FRAME__BODY_MEMBERS;
     frame.members = &all;
-    wp_node_frame(f->node, f->now, "x:1", &frame);
+    wp_node_on_frame(f->node, f->now, "x:1", &frame);
     fake_drain(f);
     wp_entry_refresh(f->entry, f->now);
 }
@@ -52,7 +52,7 @@
 {
     WPConfig *c = config_from(yaml, revision);
     Wp__Snapshot *s = wp_config_snapshot(c);
-    wp_node_all(f->node, f->now, f->now.mono_us, true, s);
+    wp_node_on_snapshot(f->node, f->now, f->now.mono_us, true, s);
     wp_pb_free(s);
     wp_config_free(c);
     fake_drain(f);
--- a/tests/test.h
+++ b/tests/test.h
@@ -22,13 +22,13 @@
                                              wp_str(yaml), "test", &error);
     if (!r)
         fail_msg("%s", error->message);
-    GPtrArray *ops = wp_rules_ops(r);
+    GPtrArray *ops = wp_rules_to_ops(r);
     Wp__Snapshot s = WP__SNAPSHOT__INIT;
     WPConfig *c = wp_config_new();
     s.revision = revision;
     s.n_ops = ops->len;
     s.ops = (Wp__Op **)ops->pdata;
-    assert_int_equal(wp_config_replace(c, &s), WP_APPLY_DONE);
+    assert_int_equal(wp_config_apply_snapshot(c, &s), WP_APPLY_DONE);
     wp_ops_free(ops);
     wp_pb_free(r);
     return c;
--- a/tests/test_areas.c
+++ b/tests/test_areas.c
@@ -5,12 +5,12 @@
 
 static void put(Fake *k, const char *id, const char *service, const char *zone)
 {
-    WPListing l = { .id = id,
-                    .service = service,
-                    .addr = "127.0.0.1:1",
-                    .zone = zone,
-                    .version = "v1",
-                    .slots = 8 };
+    WPRegistryEntry l = { .id = id,
+                          .service = service,
+                          .addr = "127.0.0.1:1",
+                          .zone = zone,
+                          .version = "v1",
+                          .slots = 8 };
     wp_fleet_put(k->d.fleet, k->now, &l);
 }
 
--- a/tests/test_box_news.c
+++ b/tests/test_box_news.c
@@ -1,6 +1,6 @@
 /* What the boxes of a zone tell each other of endpoints. */
 #include "direct_fake.h"
-#include "wp_box_news.h"
+#include "wp_box_updates.h"
 #include "wp_pb.h"
 
 #include <math.h>
@@ -14,12 +14,12 @@
 }
 
 /* `to` takes what `from` has to tell. */
-static unsigned deliver(WPBoxNews *from, Fake *to)
+static unsigned deliver(WPBoxUpdates *from, Fake *to)
 {
     Wp__BoxNews m;
-    wp_box_news_fill(from, 1, &m);
-    unsigned bad = wp_box_news_hear(to->d.fleet, to->now, &m);
-    wp_box_news_clear(from);
+    wp_box_updates_fill(from, 1, &m);
+    unsigned bad = wp_box_updates_merge(to->d.fleet, to->now, &m);
+    wp_box_updates_reset(from);
     return bad;
 }
 
@@ -39,19 +39,19 @@
 static void what_one_box_sends_the_other_knows(void **state)
 {
     Fake x, y;
-    WPBoxNews news;
+    WPBoxUpdates news;
     const WPEndpointQuery w = engine();
     (void)state;
     fake_init(&x);
     fake_init(&y);
-    wp_box_news_init(&news);
+    wp_box_updates_init(&news);
     wp_fleet_set_updates(x.d.fleet, &news);
     WPReplica *s = wp_fleet_find(x.d.fleet, "l1");
     wp_fleet_record_load(x.d.fleet, s, x.now, 3, 1, 8);
     wp_fleet_request_sent(x.d.fleet, s, x.now, &w, 400 * WP_US_PER_MS);
     wp_fleet_request_sent(x.d.fleet, s, x.now, &w, 500 * WP_US_PER_MS);
     assert_int_equal(deliver(&news, &y), 0);
-    assert_false(wp_box_news_any(&news));
+    assert_false(wp_box_updates_pending(&news));
     assert_float_equal(ahead_ms(&y, "l1"), 900, 1);
     assert_float_equal(ahead_ms(&y, "l2"), 0, 1);
     assert_float_equal(load(&y, "l1"), 4, 0.01);
@@ -60,7 +60,7 @@
     assert_float_equal(ahead_ms(&y, "l1"), 500, 1);
     for (int i = 0; i < 2; i++)
         wp_fleet_request_ended(s, x.now, WP_OUTCOME_ABANDONED);
-    wp_box_news_end(&news);
+    wp_box_updates_destroy(&news);
     wp_fleet_set_updates(x.d.fleet, NULL);
     fake_end(&x);
     fake_end(&y);
@@ -121,7 +121,7 @@
     m.n_load_waiting = 1;
     /* One reading and one load beyond measure, one load without a partner; an
        endpoint that is not known here is nobody's fault. */
-    assert_int_equal(wp_box_news_hear(k.d.fleet, k.now, &m), 3);
+    assert_int_equal(wp_box_updates_merge(k.d.fleet, k.now, &m), 3);
     assert_float_equal(ahead_ms(&k, "l1"), 0, 1);
     assert_float_equal(ahead_ms(&k, "l2"), 100, 1);
     fake_end(&k);
@@ -129,28 +129,28 @@
 
 static void memory_is_bounded(void **state)
 {
-    WPBoxNews n;
-    WPBundle b;
+    WPBoxUpdates n;
+    WPUpdateBatch b;
     Wp__BoxNews m;
     (void)state;
-    wp_box_news_init(&n);
-    wp_bundle_init(&b);
-    for (uint64_t i = 0; i < 2 * WP_BOX_NEWS_MOST; i++) {
-        wp_box_news_sent(&n, i, 1000);
-        wp_box_news_load(&n, i % 3, (uint32_t)i, 0);
+    wp_box_updates_init(&n);
+    wp_update_batch_init(&b);
+    for (uint64_t i = 0; i < 2 * WP_BOX_UPDATES_MAX; i++) {
+        wp_box_updates_add_sent(&n, i, 1000);
+        wp_box_updates_add_load(&n, i % 3, (uint32_t)i, 0);
     }
-    assert_int_equal(n.sent_to->len, WP_BOX_NEWS_MOST);
+    assert_int_equal(n.sent_to->len, WP_BOX_UPDATES_MAX);
     assert_int_equal(n.load_of->len, 3); /* the newest of each */
-    assert_int_equal(n.dropped, WP_BOX_NEWS_MOST);
-    wp_box_news_fill(&n, 1, &m);
+    assert_int_equal(n.dropped, WP_BOX_UPDATES_MAX);
+    wp_box_updates_fill(&n, 1, &m);
     for (int i = 0; i < 100; i++)
-        wp_bundle_add(&b, &m);
-    assert_true(b.records <= WP_BUNDLE_MOST);
+        wp_update_batch_add(&b, &m);
+    assert_true(b.records <= WP_UPDATE_BATCH_MAX);
     assert_true(b.dropped > 0);
-    wp_bundle_clear(&b);
+    wp_update_batch_reset(&b);
     assert_int_equal(b.records, 0);
-    wp_bundle_end(&b);
-    wp_box_news_end(&n);
+    wp_update_batch_destroy(&b);
+    wp_box_updates_destroy(&n);
 }
 
 /* Messages of any content: beliefs stay within what can be. */
@@ -171,7 +171,7 @@
             continue;
         for (size_t j = 0; j < m->n_sent_to; j++)
             m->sent_to[j] = wp_hash(wp_str("l1"), 0);
-        wp_box_news_hear(k.d.fleet, k.now, m);
+        wp_box_updates_merge(k.d.fleet, k.now, m);
         wp_pb_free(m);
         fake_pass(&k, 1);
         double ms = ahead_ms(&k, "l1");
@@ -183,12 +183,12 @@
 
 static void put_in(Fake *k, const char *id, const char *zone)
 {
-    const WPListing l = { .id = id,
-                          .service = "far",
-                          .addr = "127.0.0.1:1",
-                          .zone = zone,
-                          .version = "v1",
-                          .slots = 8 };
+    const WPRegistryEntry l = { .id = id,
+                                .service = "far",
+                                .addr = "127.0.0.1:1",
+                                .zone = zone,
+                                .version = "v1",
+                                .slots = 8 };
     wp_fleet_put(k->d.fleet, k->now, &l);
 }
 
--- a/tests/test_flow.c
+++ b/tests/test_flow.c
@@ -247,7 +247,7 @@
     wp_routes_unref(k.d.routes);
     k.d.routes = NULL;
     for (int away = 0; away < 2; away++) {
-        k.d.start.store_away = away;
+        k.d.start.store_unavailable = away;
         WPFlow *f = fake_ask(&k, "/safe/x", NULL, &m);
         assert_int_equal(m.code, WP_NOT_READY);
         assert_true(m.retry_ms > soon);
--- a/tests/test_fresh.c
+++ b/tests/test_fresh.c
@@ -1,7 +1,7 @@
 /* How soon boxes ask the store when every box that watches it has fallen
  * silent, in virtual time. */
 #include "test.h"
-#include "wp_fresh.h"
+#include "wp_staleness.h"
 
 enum {
     ZONES = 3,
@@ -18,7 +18,7 @@
 }
 
 typedef struct Box {
-    WPFresh fresh;
+    WPStaleness fresh;
     int64_t answer_ms; /* when the store's answer comes; 0: none is awaited */
     int64_t knows_ms;  /* when it knows of the change; 0: not yet */
 } Box;
@@ -33,8 +33,8 @@
     int64_t last = 0;
     for (unsigned i = 0; i < BOXES; i++) {
         boxes[i].fresh.apply_ms = apply_ms;
-        boxes[i].fresh.haste = g_rand_double(r);
-        wp_fresh_hear(&boxes[i].fresh, at(0).mono_us);
+        boxes[i].fresh.jitter = g_rand_double(r);
+        wp_staleness_confirm(&boxes[i].fresh, at(0).mono_us);
     }
     g_rand_free(r);
     for (int64_t ms = 0; ms <= 2 * apply_ms; ms += TICK_MS)
@@ -42,8 +42,8 @@
             Box *b = &boxes[i];
             unsigned rank = i % ZONE_BOXES, zone = i / ZONE_BOXES;
             if (rank > cut && !b->answer_ms && !b->knows_ms &&
-                wp_fresh_is_due(&b->fresh, at(ms), rank)) {
-                wp_fresh_ask(&b->fresh, at(ms));
+                wp_staleness_poll_due(&b->fresh, at(ms), rank)) {
+                wp_staleness_note_poll(&b->fresh, at(ms));
                 b->answer_ms = ms + ANSWER_MS;
             }
             if (!b->answer_ms || ms < b->answer_ms || b->knows_ms)
@@ -77,24 +77,24 @@
    where the bound allows it, nobody else asks. */
 static void nobody_asks_while_word_comes(void **state)
 {
-    WPFresh f = { .apply_ms = 4000 };
+    WPStaleness f = { .apply_ms = 4000 };
     (void)state;
     for (int64_t ms = 0; ms < 60000; ms += TICK_MS) {
         if (ms % 2600 == 0)
-            wp_fresh_hear(&f, at(ms).mono_us);
-        assert_false(wp_fresh_is_due(&f, at(ms), 1));
+            wp_staleness_confirm(&f, at(ms).mono_us);
+        assert_false(wp_staleness_poll_due(&f, at(ms), 1));
     }
 }
 
 /* A store that does not answer is not asked without pause. */
 static void questions_keep_a_pause(void **state)
 {
-    WPFresh f = { .apply_ms = 2000 };
+    WPStaleness f = { .apply_ms = 2000 };
     unsigned asked = 0;
     (void)state;
     for (int64_t ms = 0; ms < 20000; ms += TICK_MS)
-        if (wp_fresh_is_due(&f, at(ms), 0)) {
-            wp_fresh_ask(&f, at(ms));
+        if (wp_staleness_poll_due(&f, at(ms), 0)) {
+            wp_staleness_note_poll(&f, at(ms));
             asked++;
         }
     assert_true(asked >= 10 && asked <= 25);
@@ -103,26 +103,27 @@
 /* An older word never replaces a newer one. */
 static void word_does_not_grow_older(void **state)
 {
-    WPFresh f = { .apply_ms = 2000 };
+    WPStaleness f = { .apply_ms = 2000 };
     (void)state;
-    wp_fresh_hear(&f, at(5000).mono_us);
-    wp_fresh_hear(&f, at(100).mono_us);
-    assert_false(wp_fresh_is_due(&f, at(5500), 0));
+    wp_staleness_confirm(&f, at(5000).mono_us);
+    wp_staleness_confirm(&f, at(100).mono_us);
+    assert_false(wp_staleness_poll_due(&f, at(5500), 0));
 }
 
 /* What others know counts when this box has caught up with them. */
 static void what_is_known_is_as_old_as_the_last_full_word(void **state)
 {
-    WPFresh f = { .apply_ms = 2000 };
+    WPStaleness f = { .apply_ms = 2000 };
     (void)state;
-    assert_int_equal(wp_fresh_known_ms(&f, at(1000)), -1);
-    wp_fresh_know(&f, 10, 10, at(1000).mono_us);
-    wp_fresh_know(&f, 12, 10, at(2000).mono_us); /* it lacks two changes */
-    assert_int_equal(wp_fresh_known_ms(&f, at(3000)), 2000);
-    wp_fresh_know(&f, 15, 11, at(2500).mono_us);
-    assert_int_equal(wp_fresh_known_ms(&f, at(3000)), 2000);
-    wp_fresh_know(&f, 0, 15, 0); /* the delta has come */
-    assert_int_equal(wp_fresh_known_ms(&f, at(3000)), 500);
+    assert_int_equal(wp_staleness_ms(&f, at(1000)), -1);
+    wp_staleness_note_synced(&f, 10, 10, at(1000).mono_us);
+    wp_staleness_note_synced(&f, 12, 10,
+                             at(2000).mono_us); /* it lacks two changes */
+    assert_int_equal(wp_staleness_ms(&f, at(3000)), 2000);
+    wp_staleness_note_synced(&f, 15, 11, at(2500).mono_us);
+    assert_int_equal(wp_staleness_ms(&f, at(3000)), 2000);
+    wp_staleness_note_synced(&f, 0, 15, 0); /* the delta has come */
+    assert_int_equal(wp_staleness_ms(&f, at(3000)), 500);
 }
 
 /* Boxes tell each other the store's word while every one that watches it is
@@ -134,18 +135,20 @@
 static void a_word_that_goes_round_grows_old(void **state)
 {
     enum { RING = 33, TELL_MS = 50, WAY_MS = 45, SILENT_MS = 3000 };
-    WPFresh f[RING] = { 0 };
+    WPStaleness f[RING] = { 0 };
     (void)state;
     for (unsigned i = 0; i < RING; i++)
-        wp_fresh_hear(&f[i], at(0).mono_us);
+        wp_staleness_confirm(&f[i], at(0).mono_us);
     for (int64_t ms = TELL_MS; ms <= SILENT_MS; ms += TELL_MS)
         for (unsigned i = 0; i < RING; i++) {
-            int64_t age_us = at(ms - WAY_MS).mono_us - f[i].word_us;
+            int64_t age_us = at(ms - WAY_MS).mono_us - f[i].confirmed_us;
             uint32_t age_ms = (uint32_t)(MAX(age_us, 0) / WP_US_PER_MS);
-            wp_fresh_hear(&f[(i + 1) % RING], wp_fresh_told_us(at(ms), age_ms));
+            wp_staleness_confirm(
+                &f[(i + 1) % RING],
+                wp_staleness_peer_confirmed_us(at(ms), age_ms));
         }
     for (unsigned i = 0; i < RING; i++)
-        assert_true(at(SILENT_MS).mono_us - f[i].word_us >=
+        assert_true(at(SILENT_MS).mono_us - f[i].confirmed_us >=
                     (int64_t)SILENT_MS * WP_US_PER_MS);
 }
 
@@ -155,12 +158,12 @@
 static void a_start_waits_for_others_that_it_reaches(void **state)
 {
     (void)state;
-    WPFresh f = { .haste = 0.5 };
-    uint32_t alone = wp_fresh_start_ms(&f, false, false);
-    uint32_t reaches = wp_fresh_start_ms(&f, false, true);
+    WPStaleness f = { .jitter = 0.5 };
+    uint32_t alone = wp_staleness_start_wait_ms(&f, false, false);
+    uint32_t reaches = wp_staleness_start_wait_ms(&f, false, true);
     assert_in_range(alone, 200, 700);
     assert_in_range(reaches, 1500, 3000);
-    assert_true(wp_fresh_start_ms(&f, true, true) > reaches);
+    assert_true(wp_staleness_start_wait_ms(&f, true, true) > reaches);
 }
 
 TESTS_MAIN(T(a_start_waits_for_others_that_it_reaches),
--- a/tests/test_fuzz.c
+++ b/tests/test_fuzz.c
@@ -90,13 +90,13 @@
         if (!m)
             continue;
         taken++;
-        GPtrArray *ops = wp_rules_ops(m);
+        GPtrArray *ops = wp_rules_to_ops(m);
         Wp__Snapshot s = WP__SNAPSHOT__INIT;
         WPConfig *c = wp_config_new();
         s.revision = 1;
         s.n_ops = ops->len;
         s.ops = (Wp__Op **)ops->pdata;
-        wp_config_replace(c, &s);
+        wp_config_apply_snapshot(c, &s);
         g_ptr_array_unref(wp_check(c));
         wp_config_free(c);
         wp_ops_free(ops);
--- a/tests/test_limit.c
+++ b/tests/test_limit.c
@@ -164,7 +164,7 @@
     (void)state;
     fake_init(&k);
     WPRoute *late = wp_routes_add(k.d.routes, "late", "h.example", "/late/");
-    late->repeat = WP_REPEAT_SAFE;
+    late->retry_policy = WP_RETRY_SAFE;
     late->max_attempts = 2;
     late->priority = 2;
     wp_route_add_target(k.d.routes, late, "app", 1);
@@ -267,13 +267,13 @@
     (void)state;
     fake_init(&k);
     tell(&k, "a1", LIMIT);
-    WPListing l = { .id = "a1",
-                    .service = "app",
-                    .addr = "127.0.0.1:1",
-                    .zone = "z1",
-                    .version = "v1",
-                    .slots = 8,
-                    .born_ms = 5 };
+    WPRegistryEntry l = { .id = "a1",
+                          .service = "app",
+                          .addr = "127.0.0.1:1",
+                          .zone = "z1",
+                          .version = "v1",
+                          .slots = 8,
+                          .born_ms = 5 };
     wp_fleet_put(k.d.fleet, k.now, &l);
     assert_true(wp_fleet_limit_of(wp_fleet_find(k.d.fleet, "a1")) == 0);
     assert_true(ask_for(&k, 1000, "a1") > 10);
--- a/tests/test_lives.c
+++ b/tests/test_lives.c
@@ -1,17 +1,17 @@
 /* Endpoints that start again under their id, zones that an operator keeps
  * requests out of, and entries of the list that are of no use. */
 #include "direct_fake.h"
-#include "wp_box_news.h"
+#include "wp_box_updates.h"
 
-static const WPListing first_life = { .id = "e1",
-                                      .service = "llm",
-                                      .addr = "10.0.0.1:80",
-                                      .zone = "z1",
-                                      .version = "v1",
-                                      .slots = 8,
-                                      .born_ms = 1700000000000 };
+static const WPRegistryEntry first_life = { .id = "e1",
+                                            .service = "llm",
+                                            .addr = "10.0.0.1:80",
+                                            .zone = "z1",
+                                            .version = "v1",
+                                            .slots = 8,
+                                            .born_ms = 1700000000000 };
 
-static WPReplica *put(Fake *k, const WPListing *l)
+static WPReplica *put(Fake *k, const WPRegistryEntry *l)
 {
     wp_fleet_put(k->d.fleet, k->now, l);
     return wp_fleet_find(k->d.fleet, l->id);
@@ -20,7 +20,7 @@
 /* An endpoint of which this box believes much. */
 static WPReplica *put_known(Fake *k)
 {
-    WPListing leaving = first_life;
+    WPRegistryEntry leaving = first_life;
     WPReplica *s = put(k, &first_life);
     wp_fleet_set_load(s, k->now, 7, 5, 8);
     wp_fleet_request_ended(s, k->now, WP_OUTCOME_NO_RESPONSE);
@@ -31,7 +31,7 @@
 
 static void a_new_life_begins_without_what_was_believed(void **state)
 {
-    WPListing second = first_life;
+    WPRegistryEntry second = first_life;
     Fake k;
     (void)state;
     fake_init(&k);
@@ -56,7 +56,7 @@
 
 static void what_comes_late_from_the_life_before_changes_nothing(void **state)
 {
-    WPListing second = first_life, late = first_life;
+    WPRegistryEntry second = first_life, late = first_life;
     Fake k;
     (void)state;
     fake_init(&k);
@@ -74,7 +74,7 @@
 /* A start that is told for the first time is one. */
 static void a_start_that_was_not_told_before_is_a_new_life(void **state)
 {
-    WPListing l = first_life;
+    WPRegistryEntry l = first_life;
     Fake k;
     (void)state;
     fake_init(&k);
@@ -90,7 +90,7 @@
 /* Where starts are not told, the address, zone and service tell them apart. */
 static void another_address_is_a_new_life(void **state)
 {
-    WPListing l = first_life;
+    WPRegistryEntry l = first_life;
     Fake k;
     (void)state;
     fake_init(&k);
@@ -109,7 +109,7 @@
 /* News between boxes names the life; boxes that know only ids are heard. */
 static void news_of_a_life_that_is_over_is_passed_over(void **state)
 {
-    WPListing second = first_life;
+    WPRegistryEntry second = first_life;
     Fake k;
     (void)state;
     fake_init(&k);
@@ -138,12 +138,12 @@
 
 static void put_in_zone(Fake *k, const char *id, const char *zone)
 {
-    const WPListing l = { .id = id,
-                          .service = "app",
-                          .addr = "127.0.0.1:1",
-                          .zone = zone,
-                          .version = "v1",
-                          .slots = 8 };
+    const WPRegistryEntry l = { .id = id,
+                                .service = "app",
+                                .addr = "127.0.0.1:1",
+                                .zone = zone,
+                                .version = "v1",
+                                .slots = 8 };
     put(k, &l);
 }
 
@@ -242,13 +242,13 @@
     };
     (void)state;
     for (size_t i = 0; i < WP_COUNT(rows); i++) {
-        const WPListing l = { .id = rows[i].id,
-                              .service = rows[i].service,
-                              .addr = rows[i].addr,
-                              .zone = rows[i].zone,
-                              .version = rows[i].version,
-                              .slots = 8 };
-        const char *problem = wp_listing_problem(&l);
+        const WPRegistryEntry l = { .id = rows[i].id,
+                                    .service = rows[i].service,
+                                    .addr = rows[i].addr,
+                                    .zone = rows[i].zone,
+                                    .version = rows[i].version,
+                                    .slots = 8 };
+        const char *problem = wp_registry_entry_invalid_field(&l);
         if (g_strcmp0(problem, rows[i].problem))
             fail_msg("row %zu: %s", i, problem);
     }
@@ -270,11 +270,11 @@
     };
     (void)state;
     for (size_t i = 0; i < WP_COUNT(rows); i++) {
-        WPListing l = first_life;
+        WPRegistryEntry l = first_life;
         l.slots = rows[i].slots;
         l.cold_left_ms = rows[i].cold_left_ms;
         l.born_ms = rows[i].born_ms;
-        const char *problem = wp_listing_problem(&l);
+        const char *problem = wp_registry_entry_invalid_field(&l);
         if (g_strcmp0(problem, rows[i].problem))
             fail_msg("row %zu: %s", i, problem);
     }
--- a/tests/test_loaded.c
+++ b/tests/test_loaded.c
@@ -60,12 +60,12 @@
     (void)state;
     fake_init(&k);
     /* The other one is far from here and hardly less loaded: not taken. */
-    WPListing far = { .id = "l3",
-                      .service = "llm",
-                      .addr = "127.0.0.1:1",
-                      .zone = "z2",
-                      .version = "v1",
-                      .slots = 8 };
+    WPRegistryEntry far = { .id = "l3",
+                            .service = "llm",
+                            .addr = "127.0.0.1:1",
+                            .zone = "z2",
+                            .version = "v1",
+                            .slots = 8 };
     wp_fleet_put(k.d.fleet, k.now, &far);
     wp_fleet_remove(k.d.fleet, k.now, "l2", false);
     wp_fleet_set_load(wp_fleet_find(k.d.fleet, "l1"), k.now, 4, 0, 8);
--- a/tests/test_mirror.c
+++ b/tests/test_mirror.c
@@ -15,9 +15,9 @@
     assert_true(put(m, "a", "1", 5));
     assert_false(put(m, "a", "0", 4));
     assert_false(put(m, "a", "1", 5));
-    assert_int_equal(wp_mirror_revision(m, "a"), 5);
+    assert_int_equal(wp_mirror_key_revision(m, "a"), 5);
     assert_true(put(m, "a", NULL, 6));
-    assert_int_equal(wp_mirror_revision(m, "a"), 0);
+    assert_int_equal(wp_mirror_key_revision(m, "a"), 0);
     /* What was removed does not come back by an old copy. */
     assert_false(put(m, "a", "1", 5));
     assert_true(put(m, "a", "2", 9));
@@ -37,7 +37,7 @@
     put(a, "gone", NULL, 7);
     put(a, "y", "2", 6);
     wp_mirror_advance(a, 8);
-    Wp__MirrorDelta *d = wp_mirror_delta(a, wp_mirror_complete(b));
+    Wp__MirrorDelta *d = wp_mirror_delta(a, wp_mirror_complete_revision(b));
     assert_int_equal(d->n_items, 2);
     for (size_t i = 0; i < d->n_items; i++) {
         const Wp__MirrorItem *item = d->items[i];
@@ -49,9 +49,9 @@
                       item->lapsed);
     }
     wp_mirror_advance(b, d->complete);
-    assert_int_equal(wp_mirror_complete(b), 8);
+    assert_int_equal(wp_mirror_complete_revision(b), 8);
     assert_null(wp_mirror_get(b, "gone"));
-    assert_int_equal(wp_mirror_revision(b, "y"), 6);
+    assert_int_equal(wp_mirror_key_revision(b, "y"), 6);
     wp_mirror_delta_free(d);
     wp_mirror_free(a);
     wp_mirror_free(b);
@@ -119,7 +119,7 @@
 
 static size_t packed_size(WPMirror *m)
 {
-    Wp__MirrorDelta *d = wp_mirror_delta_packed(m, 0);
+    Wp__MirrorDelta *d = wp_mirror_delta_compressed(m, 0);
     size_t n = wp__mirror_delta__get_packed_size(d);
     wp_mirror_delta_free(d);
     return n;
@@ -157,16 +157,16 @@
 {
     (void)state;
     WPMirror *m = fleet_of(620, 385);
-    Wp__MirrorDelta *d = wp_mirror_part(m, "wp/box/", " depot-3");
+    Wp__MirrorDelta *d = wp_mirror_delta_matching(m, "wp/box/", " depot-3");
     assert_true(d->partial && d->has_packed);
     assert_true(d->packed.len < 16 * 77);
-    Wp__MirrorDelta *read = wp_mirror_delta_unpack(d);
+    Wp__MirrorDelta *read = wp_mirror_delta_decompress(d);
     assert_int_equal(read->n_items, 77);
     assert_true(read->partial);
     assert_int_equal(read->complete, 0);
     wp_pb_free(read);
     wp_mirror_delta_free(d);
-    d = wp_mirror_part(m, "wp/box/", " depot-none");
+    d = wp_mirror_delta_matching(m, "wp/box/", " depot-none");
     assert_int_equal(d->n_items, 0);
     assert_true(d->partial);
     wp_mirror_delta_free(d);
@@ -178,27 +178,27 @@
     (void)state;
     WPMirror *m = fleet_of(100, 20);
     wp_mirror_put(m, "servers/gone", NULL, 500, true);
-    Wp__MirrorDelta *d = wp_mirror_delta_packed(m, 0);
-    Wp__MirrorDelta *read = wp_mirror_delta_unpack(d);
+    Wp__MirrorDelta *d = wp_mirror_delta_compressed(m, 0);
+    Wp__MirrorDelta *read = wp_mirror_delta_decompress(d);
     assert_non_null(read);
     assert_int_equal(read->n_items, 121);
-    assert_int_equal(read->complete, wp_mirror_complete(m));
+    assert_int_equal(read->complete, wp_mirror_complete_revision(m));
     const Wp__MirrorItem *last = read->items[120];
     assert_string_equal(last->key, "servers/gone");
     assert_true(last->removed && last->lapsed);
     g_autoptr(GBytes) value = wp_mirror_item_value(read->items[0]);
     assert_true(g_bytes_get_size(value) > 100);
     d->size /= 2;
-    assert_null(wp_mirror_delta_unpack(d));
+    assert_null(wp_mirror_delta_decompress(d));
     d->size = UINT32_MAX;
-    assert_null(wp_mirror_delta_unpack(d));
+    assert_null(wp_mirror_delta_decompress(d));
     wp_pb_free(read);
     wp_mirror_delta_free(d);
     /* An entry that has changed since is in the next one. */
     WPStr value2 = wp_str("x");
     wp_mirror_put(m, "servers/gone", &value2, 501, false);
-    d = wp_mirror_delta_packed(m, 0);
-    read = wp_mirror_delta_unpack(d);
+    d = wp_mirror_delta_compressed(m, 0);
+    read = wp_mirror_delta_decompress(d);
     assert_false(read->items[120]->removed);
     wp_pb_free(read);
     wp_mirror_delta_free(d);
@@ -229,7 +229,7 @@
     put(m, "lost", "1", 4);
     put(m, "newer", "1", 12);
     g_hash_table_add(keys, (gpointer) "kept");
-    g_autoptr(GPtrArray) lacking = wp_mirror_lacking(m, keys, 10);
+    g_autoptr(GPtrArray) lacking = wp_mirror_not_in(m, keys, 10);
     assert_int_equal(lacking->len, 1);
     assert_string_equal(((WPMirrorItem *)lacking->pdata[0])->key, "lost");
     wp_mirror_free(m);
@@ -293,12 +293,12 @@
 static void the_own_zone_comes_first_until_it_is_loaded(void **state)
 {
     Fake k;
-    WPListing far = { .id = "a9",
-                      .service = "app",
-                      .addr = "127.0.0.1:9",
-                      .zone = "z2",
-                      .version = "v1",
-                      .slots = 8 };
+    WPRegistryEntry far = { .id = "a9",
+                            .service = "app",
+                            .addr = "127.0.0.1:9",
+                            .zone = "z2",
+                            .version = "v1",
+                            .slots = 8 };
     WPEndpointQuery w = { .service = "app", .zone = "z1" };
     (void)state;
     fake_init(&k);
--- a/tests/test_news_fuzz.c
+++ b/tests/test_news_fuzz.c
@@ -95,7 +95,7 @@
 {
     switch (n->kind) {
     case WP_NEWS_ENDPOINT:
-        if (!wp_listing_problem(&n->listing)) {
+        if (!wp_registry_entry_invalid_field(&n->listing)) {
             assert_true(n->listing.slots > 0);
             wp_fleet_put(k->d.fleet, k->now, &n->listing);
         }
@@ -105,7 +105,7 @@
             const WPRoute *r = g_ptr_array_index(n->routes->routes, i);
             for (guint m = 0; m < r->models->len; m++)
                 assert_non_null(g_ptr_array_index(r->models, m));
-            wp_route_pick(n->routes, r, 0.5);
+            wp_route_pick_service(n->routes, r, 0.5);
         }
         wp_routes_unref(n->routes);
         break;
--- a/tests/test_notice.c
+++ b/tests/test_notice.c
@@ -178,15 +178,16 @@
     fake_end(&k);
 }
 
-static WPListing listing_of(const char *id, const char *addr, int64_t born_ms)
+static WPRegistryEntry listing_of(const char *id, const char *addr,
+                                  int64_t born_ms)
 {
-    return (WPListing){ .id = id,
-                        .service = "app",
-                        .addr = addr,
-                        .zone = "z1",
-                        .version = "v1",
-                        .slots = 8,
-                        .born_ms = born_ms };
+    return (WPRegistryEntry){ .id = id,
+                              .service = "app",
+                              .addr = addr,
+                              .zone = "z1",
+                              .version = "v1",
+                              .slots = 8,
+                              .born_ms = born_ms };
 }
 
 /* A new life has said nothing: under the old id with a later start, or under
@@ -201,10 +202,10 @@
     const char *id = answered(&k, "/safe/x", &leaves);
     const char *other = answered(&k, "/safe/x", &rests);
     assert_string_not_equal(id, other);
-    const WPListing again = listing_of(id, "127.0.0.1:1", 5);
+    const WPRegistryEntry again = listing_of(id, "127.0.0.1:1", 5);
     wp_fleet_put(k.d.fleet, k.now, &again);
     assert_true(goes_to(&k, "/safe/x", id, 10));
-    const WPListing fresh = listing_of("a9", "127.0.0.1:1", 6);
+    const WPRegistryEntry fresh = listing_of("a9", "127.0.0.1:1", 6);
     wp_fleet_put(k.d.fleet, k.now, &fresh);
     assert_true(goes_to(&k, "/safe/x", "a9", 50));
     assert_false(goes_to(&k, "/safe/x", other, 100));
@@ -515,7 +516,7 @@
     fake_put(&k, "a2", "app", "v1", false);
     assert_true(refused(&k, "/safe/x", WP_RESTING) > 50000);
     wp_fleet_remove(f, k.now, "a1", false);
-    const WPListing again = listing_of("a1", "127.0.0.1:1", 7);
+    const WPRegistryEntry again = listing_of("a1", "127.0.0.1:1", 7);
     wp_fleet_put(f, k.now, &again);
     assert_true(goes_to(&k, "/safe/x", "a1", 1));
     fake_end(&k);
--- a/tests/test_once.c
+++ b/tests/test_once.c
@@ -38,7 +38,7 @@
     a->once = wp_once_new(&rules);
     a->view = wp_members_new();
     a->self = member(id, incarnation);
-    wp_members_take(a->view, &a->self, 0);
+    wp_members_merge(a->view, &a->self, 0);
 }
 
 static void agent_end(Agent *a)
@@ -92,8 +92,8 @@
         char *key = g_strdup_printf("w/key-%d", i);
         WPMembers *t = wp_members_new();
         Wp__Member a = member(newcomer, 1), b = member(old, 1);
-        wp_members_take(t, &a, 0);
-        wp_members_take(t, &b, 0);
+        wp_members_merge(t, &a, 0);
+        wp_members_merge(t, &b, 0);
         const WPMemberRow *r =
             wp_once_keeper(t, VERSION, key, 10 * SETTLE_MS, SETTLE_MS);
         bool hit = !strcmp(r->m->id, newcomer);
@@ -128,9 +128,9 @@
             break;
         /* Both clocks show the same here; skew is tried by SETTLES. */
         if (order[i] == OLD_LEARNS)
-            wp_members_take(old.view, &new.self, 0);
+            wp_members_merge(old.view, &new.self, 0);
         else if (order[i] == NEW_LEARNS)
-            wp_members_take(new.view, &old.self, 0);
+            wp_members_merge(new.view, &old.self, 0);
         else if (order[i] == SETTLES)
             now = 100000 + SETTLE_MS + SKEW_MS;
         else if (wp_members_get(old.view, "new") &&
@@ -189,11 +189,11 @@
     Wp__Member dead = member("dead", 1);
     (void)state;
     agent_init(&a, "heir", 1);
-    wp_members_take(a.view, &dead, 0);
+    wp_members_merge(a.view, &dead, 0);
     assert_int_equal(offer(&a, 100000, key, 99990), WP_NOT_KEEPER);
     dead.has_gone = 1;
     dead.gone = 1;
-    wp_members_take(a.view, &dead, 0);
+    wp_members_merge(a.view, &dead, 0);
     wp_once_left(a.once, at_ms(200000), &dead);
     assert_int_equal(offer(&a, 200010, key, 200005), WP_NOT_KEEPER);
     assert_int_equal(offer(&a, 202000, key, 199000), WP_ONCE_UNKNOWN);
@@ -212,14 +212,14 @@
     (void)state;
     agent_init(&a, "heir", 1);
     agent_init(&leaver, "leaver", 1);
-    wp_members_take(a.view, &leaver.self, 0);
-    wp_members_take(leaver.view, &a.self, 0);
+    wp_members_merge(a.view, &leaver.self, 0);
+    wp_members_merge(leaver.view, &a.self, 0);
     wp_once_handed(leaver.once, "heir", 1);
     assert_int_equal(offer(&leaver, 100000, key, 99990), WP_OK);
     Wp__Member left = leaver.self;
     left.has_leaving = 1;
     left.leaving = 1;
-    wp_members_take(a.view, &left, 0);
+    wp_members_merge(a.view, &left, 0);
     wp_once_left(a.once, at_ms(100100), &left);
     /* Its keys may still be under way. */
     assert_int_equal(offer(&a, 100110, key, 99990), WP_NOT_KEEPER);
--- a/tests/test_pace.c
+++ b/tests/test_pace.c
@@ -106,13 +106,13 @@
     wp_pace_boxes_end(&b);
 }
 
-static const WPListing cold_listing = { .id = "l1",
-                                        .service = "llm",
-                                        .addr = "127.0.0.1:1",
-                                        .zone = "z1",
-                                        .version = "v1",
-                                        .slots = 8,
-                                        .cold_left_ms = 3000 };
+static const WPRegistryEntry cold_listing = { .id = "l1",
+                                              .service = "llm",
+                                              .addr = "127.0.0.1:1",
+                                              .zone = "z1",
+                                              .version = "v1",
+                                              .slots = 8,
+                                              .cold_left_ms = 3000 };
 
 /* The list of services asks for pacing, one endpoint is cold, and this box is
    one of eight. */
--- a/tests/test_peers.c
+++ b/tests/test_peers.c
@@ -218,7 +218,7 @@
     wp_mirror_advance(ahead->mirror, 10);
     wp_peers_member(behind->peers, "e2", ahead->addr, "z1");
     assert_true(run_until(&w, &behind->got_delta));
-    assert_int_equal(wp_mirror_complete(behind->mirror), 10);
+    assert_int_equal(wp_mirror_complete_revision(behind->mirror), 10);
     free_box(behind);
     free_box(ahead);
     wp_hub_free(mute.hub);
@@ -577,7 +577,7 @@
     (void)fd;
     (void)what;
     for (size_t i = 0; i < a->world->n; i++)
-        n += wp_mirror_complete(a->world->boxes[i]->mirror) == 10;
+        n += wp_mirror_complete_revision(a->world->boxes[i]->mirror) == 10;
     a->all = n == a->world->n;
 }
 
--- a/tests/test_placing.c
+++ b/tests/test_placing.c
@@ -2,7 +2,7 @@
  * virtual time: twenty boxes before thirty-two engines, each box with its own
  * beliefs. Checked is what callers get: how many first bytes are late. */
 #include "direct_fake.h"
-#include "wp_box_news.h"
+#include "wp_box_updates.h"
 
 enum {
     BOXES = 20,
@@ -35,7 +35,7 @@
 
 typedef struct Play {
     WPFleet *fleets[BOXES];
-    WPBoxNews news[BOXES];
+    WPBoxUpdates news[BOXES];
     Engine engines[ENGINES];
     Ask asks[ASKS_MOST];
     unsigned n, begun, late, lost;
@@ -74,17 +74,17 @@
     for (unsigned b = 0; b < BOXES; b++) {
         p->fleets[b] = wp_fleet_new(seed * 100 + b);
         wp_fleet_set_rules(p->fleets[b], &rules);
-        wp_box_news_init(&p->news[b]);
+        wp_box_updates_init(&p->news[b]);
         if (told)
             wp_fleet_set_updates(p->fleets[b], &p->news[b]);
         for (unsigned e = 0; e < ENGINES; e++) {
             g_autofree char *id = g_strdup_printf("i-%02u", e);
-            const WPListing l = { .id = id,
-                                  .service = "llm",
-                                  .addr = "127.0.0.1:1",
-                                  .zone = "z1",
-                                  .version = "v1",
-                                  .slots = SLOTS };
+            const WPRegistryEntry l = { .id = id,
+                                        .service = "llm",
+                                        .addr = "127.0.0.1:1",
+                                        .zone = "z1",
+                                        .version = "v1",
+                                        .slots = SLOTS };
             wp_fleet_put(p->fleets[b], now_of(p), &l);
         }
     }
@@ -94,7 +94,7 @@
 {
     for (unsigned b = 0; b < BOXES; b++) {
         wp_fleet_free(p->fleets[b]);
-        wp_box_news_end(&p->news[b]);
+        wp_box_updates_destroy(&p->news[b]);
     }
     for (unsigned e = 0; e < ENGINES; e++)
         g_queue_clear(&p->engines[e].waiting);
@@ -178,11 +178,11 @@
 {
     for (unsigned b = 0; b < BOXES; b++) {
         Wp__BoxNews m;
-        wp_box_news_fill(&p->news[b], b, &m);
+        wp_box_updates_fill(&p->news[b], b, &m);
         for (unsigned to = 0; to < BOXES; to++)
             if (to != b)
-                wp_box_news_hear(p->fleets[to], now_of(p), &m);
-        wp_box_news_clear(&p->news[b]);
+                wp_box_updates_merge(p->fleets[to], now_of(p), &m);
+        wp_box_updates_reset(&p->news[b]);
     }
 }
 
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -35,20 +35,21 @@
     assert_int_equal(n.kind, WP_NEWS_ROUTES);
     const WPRoutes *t = n.routes;
     assert_int_equal(t->version, 7);
-    assert_true(t->keyed);
+    assert_true(t->requires_keys);
     assert_int_equal(t->limits.idle_ms, 15000);
     const WPRoute *r = wp_routes_find(t, wp_str("A.example"), wp_str("/x/z?q"));
     assert_string_equal(r->name, "r1");
-    assert_int_equal(r->repeat, WP_REPEAT_STREAM);
+    assert_int_equal(r->retry_policy, WP_RETRY_STREAM);
     assert_true(r->resumable);
     assert_int_equal(r->models->len, 2);
-    assert_string_equal(wp_route_pick(t, r, 0.999)->name, "llm");
+    assert_string_equal(wp_route_pick_service(t, r, 0.999)->name, "llm");
     r = wp_routes_find(t, wp_str("a.example"), wp_str("/x/y/z"));
     assert_string_equal(r->name, "r2");
-    assert_int_equal(r->repeat, WP_REPEAT_NEVER);
+    assert_int_equal(r->retry_policy, WP_RETRY_NEVER);
     assert_int_equal(r->max_attempts, 1);
-    assert_string_equal(wp_routes_caller(t, wp_str("k2"))->workspace, "t1");
-    assert_null(wp_routes_caller(t, wp_str("k3")));
+    assert_string_equal(wp_routes_caller_by_key(t, wp_str("k2"))->workspace,
+                        "t1");
+    assert_null(wp_routes_caller_by_key(t, wp_str("k3")));
     assert_float_equal(wp_service_cost(wp_routes_service(t, "llm"), "m0"),
                        0.013, 1e-9);
     wp_routes_unref(n.routes);
--- a/tests/test_rules.c
+++ b/tests/test_rules.c
@@ -67,10 +67,10 @@
 static bool allowed(const WPPolicy *p, const char *kind, const char *version,
                     const WPLabels *request)
 {
-    WPSet set;
+    WPVersionSet set;
     wp_policy_allowed(p, wp_policy_workspace(p, "w"), wp_policy_kind(p, kind),
                       request, &set);
-    return wp_set_has(&set, wp_policy_version(p, version)->index);
+    return wp_version_set_has(&set, wp_policy_version(p, version)->index);
 }
 
 static void rules_attach_labels_that_selectors_use(void **state)
--- a/tests/test_session.c
+++ b/tests/test_session.c
@@ -77,7 +77,7 @@
     WPSessionAsk ask = { .id = wp_str(id),
                          .workspace = wp_policy_workspace(p, "w"),
                          .now_ms = 1800000000000 };
-    WPSet set;
+    WPVersionSet set;
     c.workspace = (char *)"w";
     c.version = (char *)version;
     c.start_ms = start_ms;
--- a/tests/test_start.c
+++ b/tests/test_start.c
@@ -5,18 +5,18 @@
 static void what_is_held(void **state)
 {
     (void)state;
-    WPStart s = { .start_us = 1000000 };
+    WPStartup s = { .start_us = 1000000 };
     WPTime now = { 1100000, 0 };
-    assert_true(wp_start_hold_ms(&s, now, 20000) >= 1000);
-    assert_int_equal(wp_start_hold_ms(&s, now, 1200), 300);
-    assert_true(wp_start_hold_ms(&s, now, 0) > 0);
-    s.store_away = true;
-    assert_int_equal(wp_start_hold_ms(&s, now, 20000), 0);
-    s.store_away = false;
+    assert_true(wp_startup_hold_ms(&s, now, 20000) >= 1000);
+    assert_int_equal(wp_startup_hold_ms(&s, now, 1200), 300);
+    assert_true(wp_startup_hold_ms(&s, now, 0) > 0);
+    s.store_unavailable = true;
+    assert_int_equal(wp_startup_hold_ms(&s, now, 20000), 0);
+    s.store_unavailable = false;
     now.mono_us += 5000000;
-    assert_int_equal(wp_start_hold_ms(&s, now, 20000), 0);
+    assert_int_equal(wp_startup_hold_ms(&s, now, 20000), 0);
     s.start_us = 0;
-    assert_int_equal(wp_start_hold_ms(&s, now, 20000), 0);
+    assert_int_equal(wp_startup_hold_ms(&s, now, 20000), 0);
 }
 
 /* The time that a request is held is the caller's. */
@@ -107,10 +107,10 @@
    box's own. */
 static int64_t attempt(Load *l, int64_t at_ms, uint32_t left_ms, bool *served)
 {
-    const WPStart start = { .start_us = 1 };
+    const WPStartup start = { .start_us = 1 };
     const WPTime now = { 1 + at_ms * WP_US_PER_MS, 0 };
     int64_t ready_ms = l->ready_ms[g_rand_int_range(l->rand, 0, BOXES)];
-    int64_t hold_ms = l->holds ? wp_start_hold_ms(&start, now, left_ms) : 0;
+    int64_t hold_ms = l->holds ? wp_startup_hold_ms(&start, now, left_ms) : 0;
     *served = at_ms + hold_ms >= ready_ms;
     l->held_out += hold_ms && !*served;
     return *served ? MAX(at_ms, ready_ms) : at_ms + hold_ms;
--- a/tests/test_suspects.c
+++ b/tests/test_suspects.c
@@ -488,7 +488,7 @@
     WPRoutes *t = fake_routes(2);
     wp_routes_add_service(t, "many");
     WPRoute *many = wp_routes_add(t, "many", "h.example", "/many/");
-    many->repeat = WP_REPEAT_SAFE;
+    many->retry_policy = WP_RETRY_SAFE;
     many->max_attempts = 3;
     many->timeout_ms = 10000;
     wp_route_add_target(t, many, "many", 1);
--- a/tests/test_tell.c
+++ b/tests/test_tell.c
@@ -2,7 +2,7 @@
  * time: who is told by whom, how soon all know, and what the busiest link
  * bears. */
 #include "test.h"
-#include "wp_tell.h"
+#include "wp_full_sync_limit.h"
 
 enum {
     ZONES = 5,
@@ -25,7 +25,7 @@
     int64_t told_ms; /* when the answer is in; 0: none is on its way */
     int64_t link_ms; /* its own link is free again */
     uint64_t sent;
-    WPTell tell;
+    WPFullSyncLimit tell;
 } Box;
 
 typedef struct World {
@@ -54,7 +54,8 @@
 static void answer(World *w, Box *from, Box *to)
 {
     const WPTime now = { (w->now_ms + 1) * WP_US_PER_MS, 0 };
-    if (!w->bounded || wp_tell_take(&from->tell, now, w->all_bytes)) {
+    if (!w->bounded ||
+        wp_full_sync_limit_take(&from->tell, now, w->all_bytes)) {
         to->told_ms = send_bytes(w, from, w->all_bytes);
         to->asks_ms = w->now_ms + SLOW_MS;
         return;
@@ -156,23 +157,23 @@
 static void the_first_answer_goes_out_whatever_its_size(void **state)
 {
     (void)state;
-    WPTell t = { 0 };
+    WPFullSyncLimit t = { 0 };
     WPTime now = { 1000000, 0 };
-    assert_true(wp_tell_take(&t, now, 10 << 20));
-    assert_false(wp_tell_take(&t, now, 1));
+    assert_true(wp_full_sync_limit_take(&t, now, 10 << 20));
+    assert_false(wp_full_sync_limit_take(&t, now, 1));
     now.mono_us += 11 * WP_US_PER_S;
-    assert_true(wp_tell_take(&t, now, 1));
+    assert_true(wp_full_sync_limit_take(&t, now, 1));
 }
 
 static void what_the_link_has_carried_is_free_again(void **state)
 {
     (void)state;
-    WPTell t = { 0 };
+    WPFullSyncLimit t = { 0 };
     WPTime now = { 1000000, 0 };
     unsigned n = 0;
     for (unsigned ms = 0; ms < 1000; ms++) {
         now.mono_us += WP_US_PER_MS;
-        while (wp_tell_take(&t, now, 40 << 10))
+        while (wp_full_sync_limit_take(&t, now, 40 << 10))
             n++;
     }
     assert_true(n >= 30 && n <= 40);
