--- a/bench/limit_play.c
+++ b/bench/limit_play.c
@@ -58,7 +58,7 @@
     unsigned to;
     enum { WORD_SENT, WORD_ASKED, WORD_ZONE, WORD_LIMIT } kind;
     uint64_t endpoint; /* SENT */
-    WPDemandNews demand;
+    WPDemandUpdate demand;
     WPLimitUpdate limit;
 } Word;
 
@@ -263,11 +263,11 @@
     if (b->life != l->life)
         return;
     WPReplica *s = wp_fleet_find(b->fleet, p->endpoints[l->endpoint].id);
-    const WPLimitReport seen = {
-        { l->per_s > 0 ? WP_LIMIT_NAMED : WP_LIMIT_NONE, l->per_s },
-        true,
-        time_of(l->sent_ms).mono_us
-    };
+    const WPLimitReport seen = { { l->per_s > 0 ? WP_LIMIT_FIELD_PRESENT
+                                                : WP_LIMIT_FIELD_NONE,
+                                   l->per_s },
+                                 true,
+                                 time_of(l->sent_ms).mono_us };
     wp_fleet_record_limit(b->fleet, s, now, &seen);
     wp_fleet_request_ended(s, now, WP_OUTCOME_OK);
 }
@@ -315,8 +315,9 @@
 {
     Box *b = &p->boxes[box];
     Word w = { .kind = WORD_ASKED };
-    while (wp_demand_tell(wp_fleet_demand(b->fleet), time_of(ms), &w.demand)) {
-        w.demand.of = b->name.hash;
+    while (wp_demand_take_unsent(wp_fleet_demand(b->fleet), time_of(ms),
+                                 &w.demand)) {
+        w.demand.subject = b->name.hash;
         say_in_zone(p, box, ms, &w);
     }
     for (guint i = 0; i < b->news.sent_to->len; i++) {
@@ -344,7 +345,7 @@
     }
     w.kind = WORD_ZONE;
     bool first = box < p->plan->zones;
-    while (first && wp_demand_is_wanted(wp_fleet_demand(f), time_of(ms)) &&
+    while (first && wp_demand_is_active(wp_fleet_demand(f), time_of(ms)) &&
            wp_fleet_take_unsent_zone_demand(f, time_of(ms), &w.demand))
         say_to_all(p, box, ms, &w);
 }
@@ -362,10 +363,10 @@
                 wp_fleet_merge_sent(s, now, 0);
             break;
         case WORD_ASKED:
-            wp_demand_hear(wp_fleet_demand(f), now, &w->demand);
+            wp_demand_merge(wp_fleet_demand(f), now, &w->demand);
             break;
         case WORD_ZONE:
-            wp_demand_hear_zone(wp_fleet_demand(f), now, &w->demand);
+            wp_demand_merge_zone(wp_fleet_demand(f), now, &w->demand);
             break;
         case WORD_LIMIT:
             wp_fleet_merge_limit(f, now, &w->limit);
--- a/bench/pace_play.c
+++ b/bench/pace_play.c
@@ -30,15 +30,15 @@
                            const WPPace *sent, uint64_t endpoint,
                            const char *zone)
 {
-    return wp_pace_free_us(sent, wp_pace_quota(b, r, endpoint, zone));
+    return wp_pace_next_send_us(sent, wp_pace_quota(b, r, endpoint, zone));
 }
 
 static int64_t shares_free(const WPPaceBoxes *b, const WPPaceRules *r,
                            const WPPace *sent, uint64_t endpoint,
                            const char *zone)
 {
-    double share = (r->per_s * r->overshoot + r->slack) / 2 / b->least;
-    unsigned last = (sent->next + WP_PACE_QUOTA_MOST - 1) % WP_PACE_QUOTA_MOST;
+    double share = (r->per_s * r->overshoot + r->slack) / 2 / b->min_count;
+    unsigned last = (sent->oldest + WP_PACE_QUOTA_MAX - 1) % WP_PACE_QUOTA_MAX;
     int64_t last_us = sent->sent_us[last];
     (void)endpoint;
     (void)zone;
@@ -126,7 +126,7 @@
 {
     int most = g_rand_double(p->rand) < LATE_SHARE ? LATE_MOST_US : WAY_MOST_US;
     int64_t at = now.mono_us + g_rand_int_range(p->rand, WAY_LEAST_US, most);
-    wp_pace_note(&p->sent[(gsize)box * p->cold + endpoint], now);
+    wp_pace_record_send(&p->sent[(gsize)box * p->cold + endpoint], now);
     g_array_append_val(p->arrivals[endpoint], at);
 }
 
--- a/io/wp_direct_admin.c
+++ b/io/wp_direct_admin.c
@@ -34,7 +34,7 @@
             "wp_endpoint_limit{box=\"%s\",endpoint=\"%s\"} %g\n"
             "wp_endpoint_limited_sent_total{box=\"%s\",endpoint=\"%s\"} %lu\n",
             z->box, s->id, s->reported.limit->per_s, z->box, s->id,
-            (unsigned long)s->reported.limit->sent);
+            (unsigned long)s->reported.limit->own_send_count);
 }
 
 static void add_kept_out(void *arg, const WPSuspect *p)
@@ -76,7 +76,7 @@
         labels, h->n_relays, labels, wp_front_connections(h->front), labels,
         (unsigned long)wp_back_opened(h->back), labels,
         wp_sync_store_up(h->sync), labels, wp_sync_reports_usage(h->sync),
-        labels, (gulong)h->held.sum, labels,
+        labels, (gulong)h->held.bytes, labels,
         (double)wp_sync_list_age_ms(h->sync, wp_clock_now(0)) / WP_MS_PER_S,
         labels, (unsigned long)h->log.dropped);
     const WPNoticeCount notices =
--- a/io/wp_direct_host.c
+++ b/io/wp_direct_host.c
@@ -74,23 +74,23 @@
 {
     uint64_t sum =
         wp_front_held(h->front, now) + wp_back_held(h->back) + wp_relay_held(h);
-    bool changed = wp_held_note(&h->held, sum);
+    bool changed = wp_buffered_update(&h->held, sum);
     unsigned cut = 0;
     if (changed) {
-        wp_front_hold(h->front, h->held.over);
-        if (!h->held.over)
+        wp_front_hold(h->front, h->held.over_limit);
+        if (!h->held.over_limit)
             wp_relay_go_on(h);
     }
-    if (h->held.over)
-        cut = wp_front_cut_unread(h->front, now, WP_HELD_UNREAD_MS);
+    if (h->held.over_limit)
+        cut = wp_front_cut_unread(h->front, now, WP_BUFFERED_READ_TIMEOUT_MS);
     h->direct.counters.value[WP_C_CUT_UNREAD] += cut;
     if (!changed && !cut)
         return;
     g_autofree char *bytes = g_strdup_printf("%lu", (gulong)sum);
-    g_autofree char *most = g_strdup_printf("%lu", (gulong)h->held.most);
+    g_autofree char *most = g_strdup_printf("%lu", (gulong)h->held.limit_bytes);
     g_autofree char *n = g_strdup_printf("%u", cut);
-    wp_log(&h->log, WP_WARN, h->held.over ? "held_over" : "held_under", "bytes",
-           bytes, "most", most, "callers_cut", n, NULL);
+    wp_log(&h->log, WP_WARN, h->held.over_limit ? "held_over" : "held_under",
+           "bytes", bytes, "most", most, "callers_cut", n, NULL);
 }
 
 static void on_tick(evutil_socket_t fd, short what, void *arg)
@@ -201,7 +201,7 @@
     h->log.box = s->id;
     h->direct.rules = rules_of(s);
     wp_fleet_set_rules(h->direct.fleet, &h->direct.rules.fleet);
-    wp_held_limit(&h->held, s->memory_mb);
+    wp_buffered_set_limit(&h->held, s->memory_mb);
     take_areas(h);
     wp_log(&h->log, WP_INFO, "reloaded", NULL);
 }
@@ -260,7 +260,7 @@
     WPDirectRules rules = rules_of(h->settings);
     bool ok = read_chart(h, error);
     wp_direct_init(&h->direct, &rules, h->chart, seed);
-    wp_held_limit(&h->held, h->settings->memory_mb);
+    wp_buffered_set_limit(&h->held, h->settings->memory_mb);
     h->direct.start.start_us = wp_clock_now(0).mono_us;
     take_areas(h);
     if (ok && open_sides(h, error)) {
--- a/io/wp_direct_int.h
+++ b/io/wp_direct_int.h
@@ -6,7 +6,7 @@
 #include "wp_clock.h"
 #include "wp_direct_host.h"
 #include "wp_front.h"
-#include "wp_held.h"
+#include "wp_buffered.h"
 #include "wp_log.h"
 #include "wp_traffic.h"
 
@@ -30,7 +30,7 @@
     WPList relays;
     unsigned n_relays;
     WPClockMonitor steady;
-    WPHeld held;
+    WPBuffered held;
     int64_t traffic_us; /* when the bytes to other boxes were last logged */
     bool leaving;       /* a planned stop has begun */
     int64_t end_us; /* of the process, then; 0: all requests are still taken */
--- a/io/wp_engine.c
+++ b/io/wp_engine.c
@@ -200,7 +200,7 @@
     struct evkeyvalq *h = evhttp_request_get_output_headers(req);
     const Wp__Start *s = r->job->start;
     char rank[16];
-    g_snprintf(rank, sizeof(rank), "%u", r->job->ticket.rank);
+    g_snprintf(rank, sizeof(rank), "%u", r->job->ticket.class_rank);
     evhttp_add_header(h, "Host", r->runner->endpoint_host);
     evhttp_add_header(h, "Content-Type", "application/json");
     evhttp_add_header(h, "X-Request-Id", s->request_id);
--- a/io/wp_front.c
+++ b/io/wp_front.c
@@ -1,7 +1,7 @@
 /* The callers' side. */
 #include "wp_front.h"
 #include "wp_clock.h"
-#include "wp_held.h"
+#include "wp_buffered.h"
 #include "wp_net.h"
 
 #include <event2/bufferevent.h>
@@ -161,7 +161,7 @@
 
 static void wait_if_large(WPPeer *p)
 {
-    if (!p->front->over || p->waits || p->body->len < WP_HELD_SMALL)
+    if (!p->front->over || p->waits || p->body->len < WP_BUFFERED_EXEMPT_BYTES)
         return;
     p->waits = true;
     bufferevent_disable(p->bev, EV_READ);
--- a/io/wp_notice_news.c
+++ b/io/wp_notice_news.c
@@ -16,7 +16,7 @@
     WPDirectHost *host;
     WPPeers *peers;
     struct event *send;
-    GArray *demands; /* WPDemandNews: of zones, to be told */
+    GArray *demands; /* WPDemandUpdate: of zones, to be told */
     int64_t sent_us;
 };
 
@@ -68,7 +68,7 @@
     m->limit_list[i] = l;
 }
 
-static void add_demand(void *arg, const WPDemandNews *n)
+static void add_demand(void *arg, const WPDemandUpdate *n)
 {
     Message *m = arg;
     if (m->news.n_demands == TOLD_MOST)
@@ -77,10 +77,10 @@
     Wp__ZoneDemand *d = &m->demands[i];
     wp__zone_demand__init(d);
     d->service = n->service;
-    d->zone = n->of;
+    d->zone = n->subject;
     d->per_min = n->per_min;
-    d->number = n->number;
-    d->box = n->box;
+    d->number = n->sequence;
+    d->box = n->origin_box;
     m->demand_list[i] = d;
 }
 
@@ -118,7 +118,7 @@
     for (size_t i = 0; i < count; i++)
         add_limit(m, &limits[i]);
     for (guint i = 0; i < n->demands->len; i++)
-        add_demand(m, &g_array_index(n->demands, WPDemandNews, i));
+        add_demand(m, &g_array_index(n->demands, WPDemandUpdate, i));
     g_array_set_size(n->demands, 0);
     m->news.n_leaving = wp_fleet_take_unsent_draining(
         n->host->direct.fleet, m->leaving, WP_COUNT(m->leaving));
@@ -142,7 +142,7 @@
     event_add(n->send, waits ? &later : &at_once);
 }
 
-static void add_figure(WPNoticeFlood *n, const WPDemandNews *d)
+static void add_figure(WPNoticeFlood *n, const WPDemandUpdate *d)
 {
     if (n->demands->len < TOLD_MOST)
         g_array_append_val(n->demands, *d);
@@ -161,8 +161,8 @@
 void wp_notice_news_tick(WPNoticeFlood *n, WPTime now)
 {
     WPFleet *f = n->host->direct.fleet;
-    WPDemandNews d;
-    while (wp_demand_is_wanted(wp_fleet_demand(f), now) &&
+    WPDemandUpdate d;
+    while (wp_demand_is_active(wp_fleet_demand(f), now) &&
            wp_peers_passes_news(n->peers) &&
            wp_fleet_take_unsent_zone_demand(f, now, &d))
         add_figure(n, &d);
@@ -195,9 +195,10 @@
 
 static void hear_demand(WPNoticeFlood *n, WPTime now, const Wp__ZoneDemand *d)
 {
-    const WPDemandNews news = { d->service, d->zone, d->per_min, d->number,
-                                d->box };
-    if (wp_demand_hear_zone(wp_fleet_demand(n->host->direct.fleet), now, &news))
+    const WPDemandUpdate news = { d->service, d->zone, d->per_min, d->number,
+                                  d->box };
+    if (wp_demand_merge_zone(wp_fleet_demand(n->host->direct.fleet), now,
+                             &news))
         add_figure(n, &news);
 }
 
@@ -235,7 +236,7 @@
     WPFleet *f = n->host->direct.fleet;
     WPDemand *d = wp_fleet_demand(f);
     g_autofree Message *m = new_message(n->peers, peer);
-    wp_demand_set_away(d, wp_hash(wp_str(peer), 0), !up);
+    wp_demand_set_unreachable(d, wp_hash(wp_str(peer), 0), !up);
     if (!up)
         return;
     wp_fleet_each_limit(f, add_limit, m);
@@ -250,7 +251,7 @@
     n->host = h;
     n->peers = peers;
     n->send = evtimer_new(h->base, on_send, n);
-    n->demands = g_array_new(FALSE, FALSE, sizeof(WPDemandNews));
+    n->demands = g_array_new(FALSE, FALSE, sizeof(WPDemandUpdate));
     return n;
 }
 
--- a/io/wp_peers.c
+++ b/io/wp_peers.c
@@ -64,7 +64,7 @@
     p->ops->heard(p->arg, l->peer, d);
     if (d->complete <= wp_mirror_complete_revision(p->mirror))
         return;
-    wp_lag_hear(&p->lag, now, d->complete);
+    wp_lag_record_remote(&p->lag, now, d->complete);
     /* The newest that knows more is asked: an earlier one may have died. */
     p->behind_link = l->id;
 }
@@ -395,7 +395,7 @@
 
 int64_t wp_peers_behind_ms(WPPeers *p, WPTime now)
 {
-    wp_lag_known(&p->lag, wp_mirror_complete_revision(p->mirror));
+    wp_lag_record_local(&p->lag, wp_mirror_complete_revision(p->mirror));
     return wp_lag_ms(&p->lag, now);
 }
 
--- a/io/wp_relay.c
+++ b/io/wp_relay.c
@@ -110,8 +110,8 @@
                                        : 0,
                       .fetch = m->fetch,
                       .priority = r->flow->priority,
-                      .resumes = r->stream.has_last,
-                      .after_event = r->stream.last };
+                      .resumes = r->stream.has_last_id,
+                      .after_event = r->stream.last_id };
     evbuffer_add(out, h->method.p, h->method.n);
     evbuffer_add(out, " ", 1);
     evbuffer_add(out, h->target.p, h->target.n);
@@ -134,7 +134,7 @@
     r->streaming = false;
     r->answer = (WPDirectAnswer){ 0 };
     g_byte_array_set_size(r->body, 0);
-    wp_stream_restart(&r->stream);
+    wp_stream_discard_partial(&r->stream);
     r->leg_from = r->stream.events;
     r->channel = wp_back_send(r->host->back, now, m->replica, request,
                               r->peer->is_head, once, r);
@@ -281,7 +281,7 @@
 static void gather(WPRelay *r, const char *p, size_t n)
 {
     g_byte_array_append(r->body, (const guint8 *)p, (guint)n);
-    if (r->host->held.over && r->body->len >= WP_HELD_SMALL)
+    if (r->host->held.over_limit && r->body->len >= WP_BUFFERED_EXEMPT_BYTES)
         wp_back_pause(r->channel, true);
 }
 
@@ -492,7 +492,7 @@
     }
     WPRelay *r = new_relay(h, p);
     if (ask.resumes)
-        wp_stream_after(&r->stream, ask.after_event);
+        wp_stream_set_last_id(&r->stream, ask.after_event);
     r->flow = wp_flow_begin(&h->direct, now, &ask, &m);
     if (m.kind == WP_MOVE_SEND)
         set_expiry(r, now);
--- a/io/wp_relay_log.c
+++ b/io/wp_relay_log.c
@@ -145,7 +145,7 @@
         g_string_append_printf(r->legs, "/pace=%u", r->answer.pace);
     if (r->answer.not_run)
         g_string_append(r->legs, "/not_run");
-    if (r->answer.limit.said == WP_LIMIT_NAMED)
+    if (r->answer.limit.status == WP_LIMIT_FIELD_PRESENT)
         g_string_append_printf(r->legs, "/limit=%g", r->answer.limit.per_s);
     if (r->answer.leaving.status == WP_NOTICE_PRESENT)
         g_string_append(r->legs, "/leaving");
--- a/io/wp_runner.c
+++ b/io/wp_runner.c
@@ -108,9 +108,10 @@
         *answer = r->sse.answer_tokens;
     } else if (s->stream) {
         *answer = r->sse.events;
-    } else if (r->copy && !wp_usage_read(wp_strn((const char *)r->copy->data,
-                                                 r->copy->len),
-                                         prompt, answer)) {
+    } else if (r->copy &&
+               !wp_sse_parse_usage(
+                   wp_strn((const char *)r->copy->data, r->copy->len), prompt,
+                   answer)) {
         *answer = 1; /* a plain service: one call */
     }
 }
--- a/io/wp_sync.c
+++ b/io/wp_sync.c
@@ -276,7 +276,7 @@
 static uint32_t pull_wait_ms(const WPSync *s)
 {
     if (!s->complete && s->reading)
-        return wp_lag_start_ms(wp_peers_entries(s->peers));
+        return wp_lag_initial_pull_wait_ms(wp_peers_entries(s->peers));
     return s->watching ? WATCH_PULL_MS : 0;
 }
 
--- a/io/wp_zone.c
+++ b/io/wp_zone.c
@@ -91,10 +91,10 @@
 void wp_zone_tick(WPZone *z, WPTime now)
 {
     WPDemand *d = wp_fleet_demand(z->host->direct.fleet);
-    WPDemandNews n;
-    if (!z->host->settings->zone_news || !wp_demand_is_wanted(d, now))
+    WPDemandUpdate n;
+    if (!z->host->settings->zone_news || !wp_demand_is_active(d, now))
         return;
-    while (wp_demand_tell(d, now, &n))
+    while (wp_demand_take_unsent(d, now, &n))
         wp_box_updates_add_demand(&z->news, &n);
     wp_zone_wake(z);
 }
--- a/src/wp_agent.c
+++ b/src/wp_agent.c
@@ -177,8 +177,8 @@
     WPTicket *t = &j->ticket;
     g_strlcpy(t->workspace, s->workspace, sizeof(t->workspace));
     t->weight = ws && ws->spec->weight > 0 ? ws->spec->weight : 1;
-    t->rank = kind ? kind->spec->class_rank : 1;
-    t->size = 1;
+    t->class_rank = kind ? kind->spec->class_rank : 1;
+    t->relative_work = 1;
     t->deadline_us = s->has_budget_ms
                          ? now.mono_us + (int64_t)s->budget_ms * WP_US_PER_MS
                          : INT64_MAX;
@@ -198,7 +198,7 @@
     }
     if (admit == WP_ADMIT_REFUSE) {
         release_key(a, now, j, false);
-        return refuse(code, wp_queue_retry_ms(a->queue, j->ticket.rank));
+        return refuse(code, wp_queue_retry_ms(a->queue, j->ticket.class_rank));
     }
     j->begun = admit == WP_ADMIT_RUN;
     return (WPVerdict){ j->begun ? WP_VERDICT_RUN : WP_VERDICT_WAIT, WP_OK, 0 };
@@ -281,7 +281,7 @@
 
 static WPJob *next_queued(WPAgent *a, WPTime now, WPVerdict *v)
 {
-    WPTicket *t = wp_queue_next(a->queue, now.mono_us);
+    WPTicket *t = wp_queue_start_next(a->queue, now.mono_us);
     if (!t)
         return NULL;
     WPJob *j = wp_list_item(t, WPJob, ticket);
@@ -290,7 +290,7 @@
         j->begun = true;
         return j;
     }
-    wp_queue_leave(a->queue, now.mono_us, t, false);
+    wp_queue_remove(a->queue, now.mono_us, t, false);
     release_key(a, now, j, false);
     return j;
 }
@@ -301,14 +301,15 @@
     if (!wp_list_empty(&a->refused)) {
         j = wp_list_item(a->refused.next, WPJob, hold);
         wp_list_remove(&j->hold);
-        *v = refuse(WP_OVERLOADED, wp_queue_retry_ms(a->queue, j->ticket.rank));
+        *v = refuse(WP_OVERLOADED,
+                    wp_queue_retry_ms(a->queue, j->ticket.class_rank));
     }
     if (!j) {
-        WPTicket *t = wp_queue_hopeless(a->queue, now.mono_us);
+        WPTicket *t = wp_queue_pop_late(a->queue, now.mono_us);
         if (t) {
             j = wp_list_item(t, WPJob, ticket);
             release_key(a, now, j, false);
-            *v = refuse(WP_LATE, wp_queue_retry_ms(a->queue, t->rank));
+            *v = refuse(WP_LATE, wp_queue_retry_ms(a->queue, t->class_rank));
         }
     }
     if (!j)
@@ -326,7 +327,7 @@
 {
     const Wp__Start *s = j->start;
     Wp__Bill b = WP__BILL__INIT;
-    wp_queue_leave(a->queue, now.mono_us, &j->ticket, whole);
+    wp_queue_remove(a->queue, now.mono_us, &j->ticket, whole);
     release_key(a, now, j, begun);
     if (!begun)
         return 0;
@@ -352,7 +353,7 @@
 {
     bool held = !wp_list_empty(&j->hold);
     if (!held && !wp_list_empty(&j->ticket.link))
-        wp_queue_leave(a->queue, now.mono_us, &j->ticket, false);
+        wp_queue_remove(a->queue, now.mono_us, &j->ticket, false);
     release_key(a, now, j, false);
 }
 
--- a/src/wp_box_updates.c
+++ b/src/wp_box_updates.c
@@ -108,7 +108,7 @@
     g_array_append_val(n->kept_tokens, cached->tokens);
 }
 
-void wp_box_updates_add_demand(WPBoxUpdates *n, const WPDemandNews *demand)
+void wp_box_updates_add_demand(WPBoxUpdates *n, const WPDemandUpdate *demand)
 {
     if (!has_room(n, n->asked_of))
         return;
@@ -234,13 +234,13 @@
     size_t n = MIN(m->n_asked_of, m->n_asked_per_min);
     unsigned invalid = unpaired_count(m->n_asked_of, m->n_asked_per_min, n);
     for (size_t i = 0; i < n; i++) {
-        const WPDemandNews update = { .service = m->asked_of[i],
-                                      .of = m->box,
-                                      .per_min = m->asked_per_min[i] };
-        if (update.per_min > WP_DEMAND_MOST)
+        const WPDemandUpdate update = { .service = m->asked_of[i],
+                                        .subject = m->box,
+                                        .per_min = m->asked_per_min[i] };
+        if (update.per_min > WP_DEMAND_PER_MIN_MAX)
             invalid++;
         else
-            wp_demand_hear(wp_fleet_demand(f), now, &update);
+            wp_demand_merge(wp_fleet_demand(f), now, &update);
     }
     return invalid;
 }
--- a/src/wp_box_updates.h
+++ b/src/wp_box_updates.h
@@ -53,7 +53,7 @@
                                const WPCachedPrefixUpdate *cached);
 
 /* The rate of callers' requests for a service at this box. */
-void wp_box_updates_add_demand(WPBoxUpdates *n, const WPDemandNews *demand);
+void wp_box_updates_add_demand(WPBoxUpdates *n, const WPDemandUpdate *demand);
 
 /* Returns whether any record is queued. */
 bool wp_box_updates_pending(const WPBoxUpdates *n);
--- a/src/wp_demand.c
+++ b/src/wp_demand.c
@@ -1,19 +1,23 @@
-/* The boxes' requests for a service, and their shares by these. */
+/* Request rates by service: measuring this box's own, sending them, and keeping
+ * those of others. */
 #include "wp_demand_int.h"
 
 enum {
-    WANTED_MS = 10000,    /* figures are told so long after a limit was met */
-    TELL_LEAST_MS = 1000, /* between a box's figures that differ */
-    TELL_AGAIN_MS = 4000, /* and that do not */
-    ZONE_AGAIN_MS = 8000  /* the same of a zone's, which all boxes pass on */
+    ACTIVE_MS = 10000,  /* a service stays active for this time after a rate
+                           limit was last seen */
+    SEND_MIN_MS = 1000, /* least interval at which a box's rate is sent when it
+                           has changed */
+    SEND_INTERVAL_MS = 4000,     /* interval when it has not */
+    SEND_ZONE_INTERVAL_MS = 8000 /* the same of a zone's rate, which all boxes
+                                    forward */
 };
 
-/* A figure that is off by this much is told again. */
-#define TELL_RATIO 1.5
+/* A rate that has changed by this factor is sent before the interval ends. */
+#define SEND_RATIO 1.5
 
-uint64_t wp_demand_key(uint64_t a, uint64_t b)
+uint64_t wp_demand_key(uint64_t subject, uint64_t service)
 {
-    const uint64_t key[2] = { a, b };
+    const uint64_t key[2] = { subject, service };
     return wp_hash(wp_strn((const char *)key, sizeof(key)), 0);
 }
 
@@ -25,10 +29,10 @@
 static void free_service(gpointer p)
 {
     WPDemandService *s = p;
-    if (s->view.boxes)
-        g_array_unref(s->view.boxes);
-    if (s->view.zones)
-        g_array_unref(s->view.zones);
+    if (s->weights.boxes)
+        g_array_unref(s->weights.boxes);
+    if (s->weights.zones)
+        g_array_unref(s->weights.zones);
     g_free(s);
 }
 
@@ -44,7 +48,7 @@
     d->services = new_table(free_service);
     d->boxes = new_table(g_free);
     d->zones = new_table(g_free);
-    d->away = new_table(NULL);
+    d->unreachable = new_table(NULL);
     return d;
 }
 
@@ -55,12 +59,13 @@
     g_hash_table_unref(d->services);
     g_hash_table_unref(d->boxes);
     g_hash_table_unref(d->zones);
-    g_hash_table_unref(d->away);
+    g_hash_table_unref(d->unreachable);
     g_free(d);
 }
 
-/* The value of a table, made when it is missing. */
-static void *need_value(GHashTable *t, uint64_t key, size_t size)
+/* Returns the value of `key`, allocated with `size` zero bytes if it is
+   missing. */
+static void *get_value(GHashTable *t, uint64_t key, size_t size)
 {
     void *v = g_hash_table_lookup(t, &key);
     if (!v) {
@@ -70,165 +75,171 @@
     return v;
 }
 
-WPDemandService *wp_demand_service(WPDemand *d, uint64_t service)
+WPDemandService *wp_demand_get_service(WPDemand *d, uint64_t service)
 {
     WPDemandService *s =
-        need_value(d->services, service, sizeof(WPDemandService));
+        get_value(d->services, service, sizeof(WPDemandService));
     s->service = service;
     return s;
 }
 
-/* Bins that have passed since the newest are empty. */
-static void turn_bins(WPDemandService *s, WPTime now)
+/* Moves on to the bin of the present and clears those that were skipped. */
+static void advance_bins(WPDemandService *s, WPTime now)
 {
     int64_t bin = now.mono_us / ((int64_t)WP_DEMAND_BIN_MS * WP_US_PER_MS);
-    if (bin - s->bin >= WP_DEMAND_BINS)
+    if (bin - s->newest_bin >= WP_DEMAND_BINS)
         memset(s->bins, 0, sizeof(s->bins));
-    for (int64_t i = MAX(s->bin + 1, bin - WP_DEMAND_BINS + 1); i <= bin; i++)
+    for (int64_t i = MAX(s->newest_bin + 1, bin - WP_DEMAND_BINS + 1); i <= bin;
+         i++)
         s->bins[i % WP_DEMAND_BINS] = 0;
-    s->bin = MAX(s->bin, bin);
+    s->newest_bin = MAX(s->newest_bin, bin);
 }
 
-void wp_demand_asked(WPDemand *d, WPTime now, uint64_t service)
+void wp_demand_count_request(WPDemand *d, WPTime now, uint64_t service)
 {
-    WPDemandService *s = wp_demand_service(d, service);
-    turn_bins(s, now);
-    s->bins[s->bin % WP_DEMAND_BINS]++;
+    WPDemandService *s = wp_demand_get_service(d, service);
+    advance_bins(s, now);
+    s->bins[s->newest_bin % WP_DEMAND_BINS]++;
 }
 
-/* Over the time of the bins, of which the newest is half over on average. */
-double wp_demand_per_min(WPDemandService *s, WPTime now)
+/* The count is divided by the time that the bins cover, of which the newest is
+   half over on average. */
+double wp_demand_own_per_min(WPDemandService *s, WPTime now)
 {
     double n = 0;
-    turn_bins(s, now);
+    advance_bins(s, now);
     for (unsigned i = 0; i < WP_DEMAND_BINS; i++)
         n += s->bins[i];
     return n * WP_DEMAND_S_PER_MIN * WP_MS_PER_S /
            ((WP_DEMAND_BINS - 0.5) * WP_DEMAND_BIN_MS);
 }
 
-bool wp_demand_is_wanted(const WPDemand *d, WPTime now)
+bool wp_demand_is_active(const WPDemand *d, WPTime now)
 {
-    return d->wanted_until_us > now.mono_us;
+    return d->active_until_us > now.mono_us;
 }
 
-static gboolean is_old_figure(gpointer key, gpointer value, gpointer arg)
+static gboolean is_expired_rate(gpointer key, gpointer value, gpointer arg)
 {
-    const WPDemandFigure *f = value;
+    const WPDemandBoxRate *f = value;
     const WPTime *now = arg;
     (void)key;
-    return !wp_demand_is_fresh(f->heard_us, *now, WP_DEMAND_FRESH_MS);
+    return !wp_demand_is_fresh(f->received_us, *now, WP_DEMAND_BOX_TTL_MS);
 }
 
-void wp_demand_want(WPDemand *d, WPTime now, uint64_t service)
+void wp_demand_activate(WPDemand *d, WPTime now, uint64_t service)
 {
-    int64_t until_us = now.mono_us + (int64_t)WANTED_MS * WP_US_PER_MS;
-    if (!wp_demand_is_wanted(d, now)) {
-        d->listens_us = now.mono_us;
-        g_hash_table_foreach_remove(d->boxes, is_old_figure, &now);
+    int64_t active_until_us = now.mono_us + (int64_t)ACTIVE_MS * WP_US_PER_MS;
+    if (!wp_demand_is_active(d, now)) {
+        d->active_since_us = now.mono_us;
+        g_hash_table_foreach_remove(d->boxes, is_expired_rate, &now);
     }
-    d->wanted_until_us = until_us;
-    wp_demand_service(d, service)->wanted_until_us = until_us;
+    d->active_until_us = active_until_us;
+    wp_demand_get_service(d, service)->active_until_us = active_until_us;
 }
 
-static bool is_off(double had, double has)
+static bool has_changed(double sent, double current)
 {
-    return has > had * TELL_RATIO || had > has * TELL_RATIO;
+    return current > sent * SEND_RATIO || sent > current * SEND_RATIO;
 }
 
-/* Whether a figure is to be told again. */
-static bool is_due(WPTime now, int64_t told_us, double had, double has,
-                   int64_t again_ms)
+/* Whether a rate that was last sent as `sent` at `sent_us` (0: never) and is
+   `current` now is due to be sent: always after `interval_ms`, and earlier when
+   it has changed enough. */
+static bool is_due(WPTime now, int64_t sent_us, double sent, double current,
+                   int64_t interval_ms)
 {
-    int64_t age_ms = (now.mono_us - told_us) / WP_US_PER_MS;
-    if (!told_us || age_ms >= again_ms)
+    int64_t age_ms = (now.mono_us - sent_us) / WP_US_PER_MS;
+    if (!sent_us || age_ms >= interval_ms)
         return true;
-    bool first = had <= 0 && has > 0;
-    return is_off(had, has) && (first || age_ms >= TELL_LEAST_MS);
+    bool first = sent <= 0 && current > 0;
+    return has_changed(sent, current) && (first || age_ms >= SEND_MIN_MS);
 }
 
-bool wp_demand_tell(WPDemand *d, WPTime now, WPDemandNews *out)
+bool wp_demand_take_unsent(WPDemand *d, WPTime now, WPDemandUpdate *out)
 {
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, d->services);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         WPDemandService *s = v;
-        if (s->wanted_until_us <= now.mono_us)
+        if (s->active_until_us <= now.mono_us)
             continue;
-        double has = wp_demand_per_min(s, now);
-        if (!is_due(now, s->told_us, s->told_per_min, has, TELL_AGAIN_MS))
+        double current = wp_demand_own_per_min(s, now);
+        if (!is_due(now, s->sent_us, s->sent_per_min, current,
+                    SEND_INTERVAL_MS))
             continue;
-        s->told_us = now.mono_us;
-        s->told_per_min = (uint32_t)has;
-        d->change++;
-        *out =
-            (WPDemandNews){ .service = s->service, .per_min = (uint32_t)has };
+        s->sent_us = now.mono_us;
+        s->sent_per_min = (uint32_t)current;
+        d->generation++;
+        *out = (WPDemandUpdate){ .service = s->service,
+                                 .per_min = (uint32_t)current };
         return true;
     }
     return false;
 }
 
-void wp_demand_hear(WPDemand *d, WPTime now, const WPDemandNews *n)
+void wp_demand_merge(WPDemand *d, WPTime now, const WPDemandUpdate *n)
 {
-    WPDemandFigure *f =
-        need_value(d->boxes, wp_demand_key(n->of, n->service), sizeof(*f));
+    WPDemandBoxRate *f =
+        get_value(d->boxes, wp_demand_key(n->subject, n->service), sizeof(*f));
     if (f->per_min != n->per_min)
-        d->change++;
+        d->generation++;
     f->per_min = n->per_min;
-    f->heard_us = d->heard_us = now.mono_us;
-    wp_demand_set_away(d, n->of, false);
+    f->received_us = d->received_us = now.mono_us;
+    wp_demand_set_unreachable(d, n->subject, false);
 }
 
-bool wp_demand_is_fresh(int64_t heard_us, WPTime now, int64_t ms)
+bool wp_demand_is_fresh(int64_t received_us, WPTime now, int64_t ms)
 {
-    return heard_us && now.mono_us - heard_us < ms * WP_US_PER_MS;
+    return received_us && now.mono_us - received_us < ms * WP_US_PER_MS;
 }
 
-bool wp_demand_hear_zone(WPDemand *d, WPTime now, const WPDemandNews *n)
+bool wp_demand_merge_zone(WPDemand *d, WPTime now, const WPDemandUpdate *n)
 {
-    WPDemandZoneFigure *z =
-        need_value(d->zones, wp_demand_key(n->of, n->service), sizeof(*z));
-    const WPDemandNews *had = &z->news;
-    bool later = n->number > had->number ||
-                 (n->number == had->number && n->box > had->box);
-    if (!later)
+    WPDemandZoneRate *z =
+        get_value(d->zones, wp_demand_key(n->subject, n->service), sizeof(*z));
+    const WPDemandUpdate *known = &z->update;
+    bool newer =
+        n->sequence > known->sequence ||
+        (n->sequence == known->sequence && n->origin_box > known->origin_box);
+    if (!newer)
         return false;
-    if (had->per_min != n->per_min)
-        d->change++;
-    z->news = *n;
-    z->heard_us = now.mono_us;
+    if (known->per_min != n->per_min)
+        d->generation++;
+    z->update = *n;
+    z->received_us = now.mono_us;
     return true;
 }
 
 void wp_demand_each_zone(WPDemand *d, WPTime now,
-                         void (*fn)(void *arg, const WPDemandNews *n),
+                         void (*fn)(void *arg, const WPDemandUpdate *n),
                          void *arg)
 {
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, d->zones);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const WPDemandZoneFigure *z = v;
-        if (wp_demand_is_fresh(z->heard_us, now, WP_DEMAND_ZONE_FRESH_MS))
-            fn(arg, &z->news);
+        const WPDemandZoneRate *z = v;
+        if (wp_demand_is_fresh(z->received_us, now, WP_DEMAND_ZONE_TTL_MS))
+            fn(arg, &z->update);
     }
 }
 
-void wp_demand_set_away(WPDemand *d, uint64_t box, bool away)
+void wp_demand_set_unreachable(WPDemand *d, uint64_t box, bool unreachable)
 {
-    bool was = g_hash_table_contains(d->away, &box);
-    if (was == away)
+    bool was = g_hash_table_contains(d->unreachable, &box);
+    if (was == unreachable)
         return;
-    if (away)
-        g_hash_table_add(d->away, g_memdup2(&box, sizeof(box)));
+    if (unreachable)
+        g_hash_table_add(d->unreachable, g_memdup2(&box, sizeof(box)));
     else
-        g_hash_table_remove(d->away, &box);
-    d->change++;
+        g_hash_table_remove(d->unreachable, &box);
+    d->generation++;
 }
 
-bool wp_demand_tell_zone(WPDemand *d, WPTime now, const WPPaceBoxes *b,
-                         WPDemandNews *out)
+bool wp_demand_take_unsent_zone(WPDemand *d, WPTime now, const WPPaceBoxes *b,
+                                WPDemandUpdate *out)
 {
     uint64_t zone = wp_demand_zone_hash(b->self.zone);
     GHashTableIter it;
@@ -236,20 +247,21 @@
     g_hash_table_iter_init(&it, d->services);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         WPDemandService *s = v;
-        if (s->wanted_until_us <= now.mono_us)
+        if (s->active_until_us <= now.mono_us)
             continue;
-        double has = wp_demand_view(d, now, b, s)->per_min;
-        WPDemandZoneFigure *z =
-            need_value(d->zones, wp_demand_key(zone, s->service), sizeof(*z));
-        if (!is_due(now, z->told_us, z->news.per_min, has, ZONE_AGAIN_MS))
+        double current = wp_demand_weights(d, now, b, s)->zone_per_min;
+        WPDemandZoneRate *z =
+            get_value(d->zones, wp_demand_key(zone, s->service), sizeof(*z));
+        if (!is_due(now, z->sent_us, z->update.per_min, current,
+                    SEND_ZONE_INTERVAL_MS))
             continue;
-        z->told_us = z->heard_us = now.mono_us;
-        z->news = (WPDemandNews){ .service = s->service,
-                                  .of = zone,
-                                  .per_min = (uint32_t)has,
-                                  .number = z->news.number + 1,
-                                  .box = b->self.hash };
-        *out = z->news;
+        z->sent_us = z->received_us = now.mono_us;
+        z->update = (WPDemandUpdate){ .service = s->service,
+                                      .subject = zone,
+                                      .per_min = (uint32_t)current,
+                                      .sequence = z->update.sequence + 1,
+                                      .origin_box = b->self.hash };
+        *out = z->update;
         return true;
     }
     return false;
--- a/src/wp_demand.h
+++ b/src/wp_demand.h
@@ -1,10 +1,11 @@
-/* Which boxes have requests for a service, and how many: by that the boxes
- * share what an endpoint takes that names a limit, each working out its own
- * quota. A box tells the others of its zone its own figure, one box of a zone
- * tells the other zones the zone's; nobody is asked. Boxes with the same
- * figures have quotas that add up to what the endpoint takes; figures change
- * seldom, as they are told again only when they are off by half, and until then
- * each box uses for itself what it has told. */
+/* Request rates by service of the boxes, from which each box computes its quota
+ * of endpoints that set a rate limit. A box sends its own rate to the other
+ * boxes of its zone, and one box of each zone sends the zone's total rate to
+ * the other zones; no box queries another. Boxes that know the same rates
+ * compute quotas that add up to the limit of the endpoint. Known rates change
+ * seldom, because a rate is sent early only when it has changed by half, and
+ * until then a box uses the rate that it sent last instead of its latest
+ * measurement. */
 #ifndef WP_DEMAND_H
 #define WP_DEMAND_H
 
@@ -12,7 +13,8 @@
 #include "wp_share.h"
 
 enum {
-    WP_DEMAND_MOST = 60000000 /* requests a minute that one box may tell */
+    WP_DEMAND_PER_MIN_MAX = 60000000 /* requests per minute; a higher rate of
+                                        one box is rejected as malformed */
 };
 
 typedef struct WPDemand WPDemand;
@@ -20,55 +22,65 @@
 WPDemand *wp_demand_new(void);
 void wp_demand_free(WPDemand *d);
 
-/* A caller's request for the service has come to this box. */
-void wp_demand_asked(WPDemand *d, WPTime now, uint64_t service);
+/* Counts a caller's request for the service (hash of its name) at this box. */
+void wp_demand_count_request(WPDemand *d, WPTime now, uint64_t service);
 
-/* From now on, for at least some seconds, the figures of this service are of
-   use: they are told and listened for. */
-void wp_demand_want(WPDemand *d, WPTime now, uint64_t service);
-bool wp_demand_is_wanted(const WPDemand *d, WPTime now);
+/* Keeps the service active for the next 10 s: its rates are sent and used only
+   while it is active. Called while an endpoint of the service has a limit. */
+void wp_demand_activate(WPDemand *d, WPTime now, uint64_t service);
 
-/* A box's figure, or a zone's, as it is told. */
-typedef struct WPDemandNews {
+/* Whether any service is active. */
+bool wp_demand_is_active(const WPDemand *d, WPTime now);
+
+/* The request rate of one box, or the total rate of one zone, as boxes send it
+   to each other. */
+typedef struct WPDemandUpdate {
     uint64_t service;
-    uint64_t of;      /* box or zone, by hash */
-    uint32_t per_min; /* requests */
-    uint32_t number;  /* of a zone's figure: of two the higher (number, box) is
-                         the later one */
-    uint64_t box;     /* that tells a zone's */
-} WPDemandNews;
-
-/* The next figure of this box that is to be told now; it counts as told. */
-bool wp_demand_tell(WPDemand *d, WPTime now, WPDemandNews *out);
-
-/* The same of this box's zone, by the box that does that. */
-bool wp_demand_tell_zone(WPDemand *d, WPTime now, const WPPaceBoxes *b,
-                         WPDemandNews *out);
-
-/* What another box has told of itself; of a zone: returns true when that is
-   new, and it is to be passed on. */
-void wp_demand_hear(WPDemand *d, WPTime now, const WPDemandNews *n);
-bool wp_demand_hear_zone(WPDemand *d, WPTime now, const WPDemandNews *n);
-
-/* The zones' figures as they are known, for a box that comes. */
+    uint64_t subject;    /* hash of the id of the box or the name of the zone */
+    uint32_t per_min;    /* requests per minute */
+    uint32_t sequence;   /* zone rates only: of two updates the one with the
+                            higher (sequence, origin_box) is newer */
+    uint64_t origin_box; /* zone rates only: hash of the box that computed it */
+} WPDemandUpdate;
+
+/* Writes the next rate of this box that is due to be sent to `out` and marks it
+   as sent; `out->subject` is left 0. Returns false when none is due. */
+bool wp_demand_take_unsent(WPDemand *d, WPTime now, WPDemandUpdate *out);
+
+/* The same for the total rates of this box's zone. Called only at the box that
+   sends them to the other zones. `b`: the boxes that share the quotas. */
+bool wp_demand_take_unsent_zone(WPDemand *d, WPTime now, const WPPaceBoxes *b,
+                                WPDemandUpdate *out);
+
+/* Merges a rate that was received: another box's own, or that of a zone.
+   wp_demand_merge_zone() returns true when the update is newer than what is
+   known, and has to be forwarded. */
+void wp_demand_merge(WPDemand *d, WPTime now, const WPDemandUpdate *n);
+bool wp_demand_merge_zone(WPDemand *d, WPTime now, const WPDemandUpdate *n);
+
+/* Calls `fn` for each zone rate that has not expired, to bring a box that has
+   just connected up to date. */
 void wp_demand_each_zone(WPDemand *d, WPTime now,
-                         void (*fn)(void *arg, const WPDemandNews *n),
+                         void (*fn)(void *arg, const WPDemandUpdate *n),
                          void *arg);
 
-/* The way to another box is lost, or there again. */
-void wp_demand_set_away(WPDemand *d, uint64_t box, bool away);
+/* Records that the link to a box was lost, or is there again. A box without a
+   link counts with a rate of 0 until a rate arrives from it. */
+void wp_demand_set_unreachable(WPDemand *d, uint64_t box, bool unreachable);
 
-/* An endpoint that takes few requests. */
-typedef struct WPDemandFor {
+/* An endpoint with a rate limit, for which a quota is computed. */
+typedef struct WPDemandQuotaQuery {
     uint64_t service, endpoint; /* hashes */
     const char *zone;
-    double zone_per_s; /* what all such endpoints of that service and zone
-                          take */
-    unsigned part;     /* requests within a window */
-} WPDemandFor;
+    double zone_per_s; /* sum of the limits of the service's limited endpoints
+                          in that zone */
+    unsigned window_requests; /* requests that all boxes may send within one
+                                 window */
+} WPDemandQuotaQuery;
 
-/* How many of them are this box's. */
+/* How many of `e->window_requests` this box may send within a window. `b`: the
+   boxes that share them. */
 unsigned wp_demand_quota(WPDemand *d, WPTime now, const WPPaceBoxes *b,
-                         const WPDemandFor *e);
+                         const WPDemandQuotaQuery *e);
 
 #endif
--- a/src/wp_direct.c
+++ b/src/wp_direct.c
@@ -24,7 +24,7 @@
     d->rules = *rules;
     d->boxes = 1;
     wp_value_rate_init(&d->earned);
-    wp_pauses_init(&d->pauses);
+    wp_stall_init(&d->pauses);
     d->fleet = wp_fleet_new(seed);
     wp_fleet_set_rules(d->fleet, &rules->fleet);
     d->shifts = wp_shifts_new(chart);
--- a/src/wp_direct.h
+++ b/src/wp_direct.h
@@ -45,7 +45,7 @@
     GHashTable *quality;  /* route -> how good the smallest model's are */
     double lag;           /* recent first bytes, as a part of their aim */
     WPValueRate earned;
-    WPPauses pauses;
+    WPStallModel pauses;
     int64_t swept_us;
     GRand *rand;
 } WPDirect;
@@ -64,7 +64,7 @@
                          while a move is in its first half */
     WP_TELL_MOVED, /* on the new one, until the move reaches all */
     WP_TELL_LEFT   /* was lately on a version that a move has left; what
-                         follows is told in wp_flow_bound_ms() */
+                         follows is told in wp_flow_session_bound_ms() */
 } WPSessionNews;
 
 /* Sessions that the other boxes have not been told of. Returns how many were
--- a/src/wp_engine_cost.c
+++ b/src/wp_engine_cost.c
@@ -49,9 +49,9 @@
     if (!q->stalls || !q->ttfb || inputs->load <= 0)
         return 0;
     double prefill_us = wp_ttfb_predict_prefill(q->ttfb, inputs);
-    double before =
-        wp_pauses_chance(q->stalls, inputs->queued_prefill_us, q->max_stall_us);
-    double after = wp_pauses_chance(
+    double before = wp_stall_probability(q->stalls, inputs->queued_prefill_us,
+                                         q->max_stall_us);
+    double after = wp_stall_probability(
         q->stalls, inputs->queued_prefill_us + prefill_us, q->max_stall_us);
     return q->stall_weight * inputs->load * MAX(0, after - before);
 }
--- a/src/wp_fleet.c
+++ b/src/wp_fleet.c
@@ -30,7 +30,7 @@
 void wp_fleet_set_rules(WPFleet *f, const WPFleetRules *rules)
 {
     f->rules = *rules;
-    wp_pace_boxes_changed(&f->boxes);
+    wp_pace_boxes_invalidate(&f->boxes);
 }
 
 WPFleet *wp_fleet_new(uint32_t seed)
@@ -133,7 +133,7 @@
 {
     WPColdRule *r = cold_rule(f, service);
     if (r->per_s != per_s)
-        wp_pace_boxes_changed(&f->boxes);
+        wp_pace_boxes_invalidate(&f->boxes);
     r->per_s = per_s;
     r->start_us = (int64_t)(start_s * WP_US_PER_S);
 }
--- a/src/wp_fleet.h
+++ b/src/wp_fleet.h
@@ -10,7 +10,7 @@
 #include "wp_registry_entry.h"
 #include "wp_notice.h"
 #include "wp_pace.h"
-#include "wp_pause.h"
+#include "wp_stall.h"
 #include "wp_prefix_cache.h"
 
 enum { WP_PRIORITIES = 10 };
@@ -49,7 +49,7 @@
        `others_prefill_updated_us`. */
     double others_queued_prefill_us;
     int64_t others_prefill_updated_us;
-    WPPeaks peaks;               /* recent maxima of all prefill queued there */
+    WPPrefillPeaks peaks;        /* recent maxima of all prefill queued there */
     WPPrefixCache *prefix_cache; /* prompt prefixes it has cached */
     uint64_t id_hash; /* of its id, the same for all its incarnations */
     /* Of its incarnation; equal to `id_hash` if the time of its start is not
@@ -97,7 +97,8 @@
     uint64_t model;     /* hash of its name */
     WPTtfbModel *ttfb;  /* for that model; NULL: not known */
     double ttfb_weight; /* of a second of time to first byte, in score units */
-    const WPPauses *stalls; /* of streams, by queued prefill; NULL: not known */
+    const WPStallModel
+        *stalls;            /* of streams, by queued prefill; NULL: not known */
     double max_stall_us;    /* longest event gap that is not a stall */
     double stall_weight;    /* of one stream that stalls, in score units */
     uint64_t memory_tokens; /* of each endpoint; 0: not known */
@@ -362,7 +363,7 @@
 /* Gets the next rate of this box's zone that is due to be sent to other boxes;
    returns false if there is none. */
 bool wp_fleet_take_unsent_zone_demand(WPFleet *f, WPTime now,
-                                      WPDemandNews *out);
+                                      WPDemandUpdate *out);
 
 /* Counts a caller's request for a service. */
 void wp_fleet_count_request(WPFleet *f, WPTime now, const char *service);
--- a/src/wp_fleet_exclusion.c
+++ b/src/wp_fleet_exclusion.c
@@ -71,15 +71,15 @@
     const WPPaceRules rules = { s->cold->per_s, f->rules.cold_overshoot,
                                 f->rules.cold_slack };
     WPPace *p = &s->cold_pacing;
-    if (p->change != f->boxes.change)
+    if (p->boxes_generation != f->boxes.generation)
         p->quota =
             wp_pace_quota(&f->boxes, &rules, s->incarnation_hash, s->zone);
-    p->change = f->boxes.change;
+    p->boxes_generation = f->boxes.generation;
     /* A process does not know what its predecessor has sent. Without this
        wait, cold endpoints get more requests than they can take from boxes
        that restart several times a second. */
     int64_t ready_us = f->start_us + (int64_t)WP_PACE_WINDOW_MS * WP_US_PER_MS;
-    return MAX(wp_pace_free_us(p, p->quota), ready_us);
+    return MAX(wp_pace_next_send_us(p, p->quota), ready_us);
 }
 
 static bool is_cold_limited(WPFleet *f, WPTime now, WPReplica *s)
--- a/src/wp_fleet_learn.c
+++ b/src/wp_fleet_learn.c
@@ -198,11 +198,11 @@
 {
     s->in_flight++;
     s->sent_since_load++;
-    wp_pace_note(&s->cold_pacing, now);
+    wp_pace_record_send(&s->cold_pacing, now);
     if (s->reported.limit)
-        wp_limit_note_own(s->reported.limit, now);
+        wp_limit_record_own_send(s->reported.limit, now);
     s->own_queued_prefill_us += prefill_us;
-    wp_peaks_note(&s->peaks, now, wp_fleet_queued_prefill_us(s, now));
+    wp_prefill_peaks_add(&s->peaks, now, wp_fleet_queued_prefill_us(s, now));
     wp_fleet_add_sent_update(f, s, prefill_us);
     if (!q->prompt || !f->rules.track_prefixes)
         return;
--- a/src/wp_fleet_limit.c
+++ b/src/wp_fleet_limit.c
@@ -58,8 +58,8 @@
     if (s->reported.limit)
         return s->reported.limit;
     s->reported.limit = g_new0(WPLimit, 1);
-    s->reported.limit->born_us = now.mono_us;
-    s->reported.limit->place =
+    s->reported.limit->first_known_us = now.mono_us;
+    s->reported.limit->service_zone_hash =
         wp_hash(wp_str(s->zone), service_hash(s->service));
     g_ptr_array_add(f->limited, s);
     return s->reported.limit;
@@ -74,10 +74,11 @@
 
 static bool should_log_bad_field(WPLimit *l, WPTime now)
 {
-    if (l->bad_us &&
-        now.mono_us - l->bad_us < (int64_t)BAD_FIELD_INTERVAL_MS * WP_US_PER_MS)
+    if (l->bad_field_reported_us &&
+        now.mono_us - l->bad_field_reported_us <
+            (int64_t)BAD_FIELD_INTERVAL_MS * WP_US_PER_MS)
         return false;
-    l->bad_us = now.mono_us;
+    l->bad_field_reported_us = now.mono_us;
     return true;
 }
 
@@ -87,29 +88,30 @@
 static bool may_be_outdated(const WPLimit *l, double per_s, int64_t sent_us)
 {
     bool lower = per_s > 0 && l->per_s > 0 && per_s < l->per_s;
-    return l->number && !lower && sent_us < l->changed_us;
+    return l->sequence && !lower && sent_us < l->changed_us;
 }
 
 static void set_own_limit(WPFleet *f, WPLimit *l, WPTime now, double per_s)
 {
     wp_limit_set(l, now, per_s);
-    l->number++;
-    l->box = f->boxes.self.hash;
-    l->untold = true;
+    l->sequence++;
+    l->origin_box = f->boxes.self.hash;
+    l->unsent = true;
     f->limits_unsent = true;
 }
 
 WPLimitChange wp_fleet_record_limit(WPFleet *f, WPReplica *s, WPTime now,
                                     const WPLimitReport *report)
 {
-    bool named = report->field.said == WP_LIMIT_NAMED;
-    if (s->gone || (!s->reported.limit && report->field.said == WP_LIMIT_NONE))
+    bool named = report->field.status == WP_LIMIT_FIELD_PRESENT;
+    if (s->gone ||
+        (!s->reported.limit && report->field.status == WP_LIMIT_FIELD_NONE))
         return WP_LIMIT_UNCHANGED;
     WPLimit *l = get_limit(f, s, now);
     double per_s = named ? report->field.per_s : 0;
-    l->heard_us = now.mono_us;
-    bool invalid =
-        report->field.said == WP_LIMIT_BAD && should_log_bad_field(l, now);
+    l->answered_us = now.mono_us;
+    bool invalid = report->field.status == WP_LIMIT_FIELD_INVALID &&
+                   should_log_bad_field(l, now);
     bool counts = named || report->genuine;
     if (counts && l->per_s != per_s &&
         !may_be_outdated(l, per_s, report->sent_us)) {
@@ -161,13 +163,13 @@
     if (!s || !valid || (!s->reported.limit && n->per_s <= 0))
         return NULL;
     WPLimit *l = get_limit(f, s, now);
-    if (!is_later(n, l->number, l->box))
+    if (!is_later(n, l->sequence, l->origin_box))
         return NULL;
     if (l->per_s != n->per_s)
         wp_limit_set(l, now, n->per_s);
-    l->number = n->sequence;
-    l->box = n->origin_box;
-    l->untold = true;
+    l->sequence = n->sequence;
+    l->origin_box = n->origin_box;
+    l->unsent = true;
     f->limits_unsent = true;
     return s;
 }
@@ -175,7 +177,8 @@
 static WPLimitUpdate update_of(const WPReplica *s)
 {
     const WPLimit *l = s->reported.limit;
-    return (WPLimitUpdate){ s->incarnation_hash, l->per_s, l->number, l->box };
+    return (WPLimitUpdate){ s->incarnation_hash, l->per_s, l->sequence,
+                            l->origin_box };
 }
 
 size_t wp_fleet_take_unsent_limits(WPFleet *f, WPTime now, WPLimitUpdate *out,
@@ -188,17 +191,18 @@
     for (guint i = 0; i < f->limited->len; i++) {
         const WPReplica *s = g_ptr_array_index(f->limited, i);
         WPLimit *l = s->reported.limit;
-        int64_t age_us = now.mono_us - l->told_us;
-        bool due = !l->told_us || age_us >= UPDATE_INTERVAL_MS * WP_US_PER_MS;
-        if (!l->untold)
+        int64_t age_us = now.mono_us - l->update_sent_us;
+        bool due =
+            !l->update_sent_us || age_us >= UPDATE_INTERVAL_MS * WP_US_PER_MS;
+        if (!l->unsent)
             continue;
         if (!due || n == max) {
             f->limits_unsent = true;
             continue;
         }
         out[n++] = update_of(s);
-        l->untold = false;
-        l->told_us = now.mono_us;
+        l->unsent = false;
+        l->update_sent_us = now.mono_us;
     }
     return n;
 }
@@ -223,9 +227,9 @@
     for (guint i = f->limited->len; i-- > 0;) {
         WPReplica *s = g_ptr_array_index(f->limited, i);
         const WPLimit *l = s->reported.limit;
-        int64_t age_us = now.mono_us - MAX(l->changed_us, l->heard_us);
+        int64_t age_us = now.mono_us - MAX(l->changed_us, l->answered_us);
         if (wp_limit_rate(l, now) > 0)
-            wp_demand_want(f->demand, now, service_hash(s->service));
+            wp_demand_activate(f->demand, now, service_hash(s->service));
         else if (age_us > (int64_t)ENDED_LIMIT_TTL_MS * WP_US_PER_MS)
             wp_fleet_forget_limit(f, s);
     }
@@ -245,7 +249,7 @@
     p->per_s = 0;
     for (guint i = 0; i < f->limited->len; i++) {
         const WPReplica *s = g_ptr_array_index(f->limited, i);
-        if (s->reported.limit->place == zone_key)
+        if (s->reported.limit->service_zone_hash == zone_key)
             p->per_s += wp_limit_rate(s->reported.limit, now);
     }
     return p->per_s;
@@ -255,18 +259,20 @@
                          unsigned part)
 {
     WPLimit *l = s->reported.limit;
-    bool fresh = l->quota_us && l->quota_part == part &&
-                 now.mono_us - l->quota_us < QUOTA_TTL_MS * WP_US_PER_MS;
+    bool fresh =
+        l->quota_computed_us && l->quota_window == part &&
+        now.mono_us - l->quota_computed_us < QUOTA_TTL_MS * WP_US_PER_MS;
     if (fresh)
         return l->quota;
-    const WPDemandFor e = { .service = service_hash(s->service),
-                            .endpoint = s->incarnation_hash,
-                            .zone = s->zone,
-                            .zone_per_s = zone_limit_per_s(f, now, l->place),
-                            .part = part };
+    const WPDemandQuotaQuery e = { .service = service_hash(s->service),
+                                   .endpoint = s->incarnation_hash,
+                                   .zone = s->zone,
+                                   .zone_per_s = zone_limit_per_s(
+                                       f, now, l->service_zone_hash),
+                                   .window_requests = part };
     l->quota = wp_demand_quota(f->demand, now, &f->boxes, &e);
-    l->quota_part = part;
-    l->quota_us = now.mono_us;
+    l->quota_window = part;
+    l->quota_computed_us = now.mono_us;
     return l->quota;
 }
 
@@ -275,18 +281,19 @@
     if (!s->reported.limit)
         return 0;
     const WPLimitWindow w = wp_limit_window(s->reported.limit, now);
-    if (!w.part)
+    if (!w.requests)
         return 0;
-    return wp_limit_free_us(s->reported.limit, now, &w,
-                            quota_of(f, now, s, w.part));
+    return wp_limit_next_send_us(s->reported.limit, now, &w,
+                                 quota_of(f, now, s, w.requests));
 }
 
 double wp_fleet_limit_own_rate(WPFleet *f, WPTime now, const WPReplica *s)
 {
     const WPLimitWindow w = wp_limit_window(s->reported.limit, now);
-    if (!w.part)
+    if (!w.requests)
         return 0;
-    return (double)quota_of(f, now, s, w.part) * WP_US_PER_S / (double)w.us;
+    return (double)quota_of(f, now, s, w.requests) * WP_US_PER_S /
+           (double)w.length_us;
 }
 
 static Refusals *refusals_of(WPFleet *f, const char *service)
@@ -348,12 +355,13 @@
     return f->demand;
 }
 
-bool wp_fleet_take_unsent_zone_demand(WPFleet *f, WPTime now, WPDemandNews *out)
+bool wp_fleet_take_unsent_zone_demand(WPFleet *f, WPTime now,
+                                      WPDemandUpdate *out)
 {
-    return wp_demand_tell_zone(f->demand, now, &f->boxes, out);
+    return wp_demand_take_unsent_zone(f->demand, now, &f->boxes, out);
 }
 
 void wp_fleet_count_request(WPFleet *f, WPTime now, const char *service)
 {
-    wp_demand_asked(f->demand, now, service_hash(service));
+    wp_demand_count_request(f->demand, now, service_hash(service));
 }
--- a/src/wp_fleet_pick.c
+++ b/src/wp_fleet_pick.c
@@ -73,7 +73,8 @@
    be used. */
 static double limit_bonus(const WPLimit *l, WPTime now)
 {
-    bool is_silent = now.mono_us - l->heard_us > LIMIT_PROBE_MS * WP_US_PER_MS;
+    bool is_silent =
+        now.mono_us - l->answered_us > LIMIT_PROBE_MS * WP_US_PER_MS;
     return is_silent ? SILENT_LIMIT_BONUS : LIMIT_BONUS;
 }
 
--- a/src/wp_fleet_updates.c
+++ b/src/wp_fleet_updates.c
@@ -57,8 +57,8 @@
     s->others_prefill_updated_us = now.mono_us;
     s->sent_since_load++;
     if (s->reported.limit)
-        wp_limit_note_other(s->reported.limit, now);
-    wp_peaks_note(&s->peaks, now, wp_fleet_queued_prefill_us(s, now));
+        wp_limit_record_remote_send(s->reported.limit, now);
+    wp_prefill_peaks_add(&s->peaks, now, wp_fleet_queued_prefill_us(s, now));
 }
 
 void wp_fleet_merge_first_byte(WPReplica *s, WPTime now, double prefill_us)
--- a/src/wp_flow.c
+++ b/src/wp_flow.c
@@ -1,34 +1,45 @@
-/* The course of one request to endpoints that are called directly. */
+/* The course of one request to endpoints that are called directly: admission,
+ * attempts, retries and the final result. */
 #include "wp_flow_int.h"
 
 enum {
-    REFUSALS_MOST = 4,    /* legs that did not run, before giving up */
-    NO_ENDPOINT_MS = 300, /* when to come back; endpoints start in seconds */
-    STARTING_MS = 500,    /* the same, while no routes are known */
-    AWAY_MS = 2000,       /* the same, and the store does not answer: it stays
-                             away for seconds, and callers come back but once:
-                             too soon, and they are refused twice */
-    KEPT_OUT_MS = 2000,   /* the same, while an operator keeps requests out of
-                             all zones that have any: orders last for seconds
-                             at least */
-    NO_AREA_MS = 2000,    /* the same, while no endpoint is listed where the
-                             request may be served */
-    LEAVING_MS = 100,     /* the same, of a box that stops: others serve */
-    IN_DOUBT_MS = 300,    /* the same, while another copy of the request may end
-                             an endpoint: crashes come some tenths of a second
-                             after a request is sent where nothing waits */
-    RESTED_SPREAD_MS = 500,
-    KEPT_OUT_REQUEST_MS =
-        60000 /* the same, of one that ends each endpoint: only another release
-                 or an operator's order lets it in again */
+    REFUSALS_MAX = 4, /* attempts that were not run, before giving up */
+
+    /* After how many milliseconds a refused caller is told to retry:
+
+       There is no endpoint; endpoints start within seconds. */
+    NO_ENDPOINT_MS = 300,
+    /* No routes are known yet. */
+    STARTING_MS = 500,
+    /* The same, and the store does not answer: it stays away for seconds, and
+       callers retry only once, so that those told to retry too soon are refused
+       twice. */
+    STORE_DOWN_MS = 2000,
+    /* Operators have evacuated all zones that have endpoints of the service:
+       such orders last for seconds at least. */
+    EVACUATED_MS = 2000,
+    /* No endpoint is registered in an area where the request may be served. */
+    NO_AREA_MS = 2000,
+    /* This box is draining; others serve. */
+    DRAINING_MS = 100,
+    /* Another copy of a suspect request runs: crashes come some tenths of a
+       second after a request is sent, if nothing is queued before it. */
+    SUSPECT_BUSY_MS = 300,
+    /* The request is quarantined, as each endpoint crashes during it: only
+       another release or an operator's order admits it again. */
+    QUARANTINED_MS = 60000,
+    /* An endpoint asked for a back-off: added at random to the rest of it. */
+    BACKOFF_SPREAD_MS = 500
 };
 
-static WPMove move_fail(WPCode code, uint32_t retry_ms)
+static WPMove fail_action(WPCode code, uint32_t retry_ms)
 {
     return (WPMove){ .kind = WP_MOVE_FAIL, .code = code, .retry_ms = retry_ms };
 }
 
-static void note_earned(WPFlow *f, WPWhy why)
+/* Counts the request, at its first attempt, and the attempt's prefill for the
+   value per second of prefill. */
+static void record_value(WPFlow *f, WPWhy why)
 {
     WPDirect *d = f->d;
     if (why == WP_WHY_FIRST)
@@ -37,86 +48,93 @@
     wp_value_rate_add_prefill(&d->earned, f->leg.reading_us / WP_US_PER_S);
 }
 
-/* Notes what the leg's endpoint has to do, and hands the request to it. Returns
-   the address to take the prompt's beginning from, or NULL. */
-static const char *foretell(WPFlow *f, WPTime now, WPReplica *s, WPWhy why)
+/* Predicts the TTFB of the attempt at `s` and counts the request as sent there.
+   Returns the address of the endpoint from which `s` is to copy the cached
+   beginning of the prompt, or NULL. */
+static const char *predict_and_send(WPFlow *f, WPTime now, WPReplica *s,
+                                    WPWhy why)
 {
-    const WPEndpointQuery w = wp_flow_want(f);
+    const WPEndpointQuery w = wp_flow_query(f);
     const WPReplica *source;
     f->leg.work = wp_fleet_ttfb_inputs(f->d->fleet, now, &w, s, &source);
     f->leg.expect_us = wp_ttfb_predict(w.ttfb, &f->leg.work);
     f->leg.reading_us = wp_ttfb_predict_prefill(w.ttfb, &f->leg.work);
     if (w.prompt && f->leg.expect_us > 0)
-        note_earned(f, why);
+        record_value(f, why);
     wp_fleet_request_sent(f->d->fleet, s, now, &w, f->leg.reading_us);
     return source ? source->addr : NULL;
 }
 
-static void begin_leg(WPFlow *f, WPTime now, WPReplica *s, WPWhy why,
-                      WPMove *out)
+/* Begins an attempt at `s`, whose reference it takes over. */
+static void begin_attempt(WPFlow *f, WPTime now, WPReplica *s, WPWhy why,
+                          WPMove *out)
 {
     WPShift *sh = wp_flow_shift(f);
     bool old = sh && strcmp(s->version, sh->version);
-    double taken = wp_fleet_utilization(s, now);
+    double utilization = wp_fleet_utilization(s, now);
     bool cold = s->reported.cold_until_us > now.mono_us;
     f->leg = (WPAttempt){ .replica = s,
                           .sent_us = now.mono_us,
-                          .crowded = wp_flow_is_crowded(f, taken) || cold,
-                          .loaded = taken >= WP_FLOW_HALF_FULL,
-                          .taken = taken,
+                          .crowded =
+                              wp_flow_endpoint_is_busy(f, utilization) || cold,
+                          .loaded = utilization >= WP_FLOW_LOADED_SHARE,
+                          .taken = utilization,
                           .old_version = old };
     if (old)
         sh->old_running++;
     wp_suspects_attempt_started(f->d->suspects, now, f->hash);
-    /* From now on the session is on this version, also for requests that come
-       before this one is answered. */
+    /* From now on the session is on this version, also for its requests that
+       arrive before this one is answered. */
     if (f->session)
         wp_direct_session_on(f->d, now, f->session, s->version);
-    const char *fetch = foretell(f, now, s, why);
-    *out = (WPMove){ .kind = WP_MOVE_SEND,
-                     .replica = s,
-                     .model = wp_flow_model(f),
-                     .why = why,
-                     .fetch = fetch,
-                     .budget_ms = (uint32_t)MAX(wp_flow_left_ms(f, now), 1),
-                     .patience_ms = wp_flow_patience(f) };
+    const char *fetch = predict_and_send(f, now, s, why);
+    *out =
+        (WPMove){ .kind = WP_MOVE_SEND,
+                  .replica = s,
+                  .model = wp_flow_model(f),
+                  .why = why,
+                  .fetch = fetch,
+                  .budget_ms = (uint32_t)MAX(wp_flow_remaining_ms(f, now), 1),
+                  .patience_ms = wp_flow_first_byte_timeout_ms(f) };
 }
 
-static void end_leg(WPFlow *f, WPTime now, const WPAttempt *leg,
-                    WPAttemptOutcome how)
+/* Ends an attempt and drops its reference to the endpoint. */
+static void end_attempt(WPFlow *f, WPTime now, const WPAttempt *attempt,
+                        WPAttemptOutcome how)
 {
     WPShift *sh = wp_flow_shift(f);
-    wp_flow_learn_load(f, now, leg, how);
-    if (leg->old_version && sh && sh->old_running)
+    wp_flow_learn_load_failures(f, now, attempt, how);
+    if (attempt->old_version && sh && sh->old_running)
         sh->old_running--;
     wp_suspects_attempt_ended(f->d->suspects, f->hash);
-    wp_fleet_request_ended(leg->replica, now, how);
-    wp_replica_unref(leg->replica);
+    wp_fleet_request_ended(attempt->replica, now, how);
+    wp_replica_unref(attempt->replica);
 }
 
-/* Ends the leg under way; its endpoint is not asked again for this request
+/* Ends the present attempt. Its endpoint is not tried again for this request
    while there are others. */
-static void end_this(WPFlow *f, WPTime now, WPAttemptOutcome how)
+static void end_present_attempt(WPFlow *f, WPTime now, WPAttemptOutcome how)
 {
-    WPAttempt leg = f->leg;
-    if (!leg.replica)
+    WPAttempt attempt = f->leg;
+    if (!attempt.replica)
         return;
     if (f->n_tried < WP_FLOW_TRIED_MOST)
-        f->tried[f->n_tried++] = wp_replica_ref(leg.replica);
+        f->tried[f->n_tried++] = wp_replica_ref(attempt.replica);
     f->leg = (WPAttempt){ 0 };
-    end_leg(f, now, &leg, how);
+    end_attempt(f, now, &attempt, how);
 }
 
-/* Another leg if the request, the route and the budget allow it. */
-static bool again(WPFlow *f, WPTime now, WPWhy why, WPMove *out)
+/* Begins another attempt if the request, the route and the retry budget allow
+   it. Returns false when they do not, or when there is no endpoint. */
+static bool try_again(WPFlow *f, WPTime now, WPWhy why, WPMove *out)
 {
     WPDirect *d = f->d;
     bool exhausted =
-        f->ran >= f->route->max_attempts || f->refused >= REFUSALS_MOST;
-    if (exhausted || wp_flow_left_ms(f, now) <= 0 ||
+        f->ran >= f->route->max_attempts || f->refused >= REFUSALS_MAX;
+    if (exhausted || wp_flow_remaining_ms(f, now) <= 0 ||
         !wp_suspects_may_retry(d->suspects, now, f->hash))
         return false;
-    WPReplica *s = wp_flow_choose(f, now);
+    WPReplica *s = wp_flow_choose_endpoint(f, now);
     if (!s)
         return false;
     WPRepeatFor needed =
@@ -129,7 +147,7 @@
     }
     wp_count(&d->counters,
              why == WP_WHY_BETTER ? WP_C_ESCALATIONS : WP_C_RETRIES);
-    begin_leg(f, now, s, why, out);
+    begin_attempt(f, now, s, why, out);
     return true;
 }
 
@@ -172,7 +190,8 @@
     uint32_t ms = ask->deadline_ms;
     if (route_ms && (!ms || route_ms < ms))
         ms = route_ms;
-    /* What does not end in time after all gets a final answer, not a cut. */
+    /* At a box that is draining the deadline lies before its end: what is not
+       done by then gets an error response, not a broken connection. */
     if (ask->stay_ms && (!ms || ask->stay_ms < ms))
         ms = ask->stay_ms;
     f->deadline_us =
@@ -184,109 +203,116 @@
     return (uint32_t)(MAX(us - now.mono_us, 0) / WP_US_PER_MS) + 1;
 }
 
-/* Callers are spread a little behind the end of the first rest, so that they do
-   not all come back in one instant. */
-static uint32_t rested_ms(const WPFlow *f, WPTime now,
-                          const WPExcludedEndpoints *rest)
+/* Retry time of callers that wait for the end of a back-off: a random time of
+   up to BACKOFF_SPREAD_MS after it, so that they do not all return at once. */
+static uint32_t backoff_retry_ms(const WPFlow *f, WPTime now,
+                                 const WPExcludedEndpoints *backoff)
 {
-    double spread_ms = g_rand_double(f->d->rand) * RESTED_SPREAD_MS;
-    return ms_until(now, rest->next_send_us) + (uint32_t)spread_ms;
+    double spread_ms = g_rand_double(f->d->rand) * BACKOFF_SPREAD_MS;
+    return ms_until(now, backoff->next_send_us) + (uint32_t)spread_ms;
 }
 
-static WPMove barred(WPCode code, uint32_t retry_ms,
-                     const WPExcludedEndpoints *by, WPExclusion bar)
+static WPMove fail_excluded(WPCode code, uint32_t retry_ms,
+                            const WPExcludedEndpoints *by, WPExclusion bar)
 {
-    WPMove m = move_fail(code, retry_ms);
+    WPMove m = fail_action(code, retry_ms);
     m.barred = by->endpoint;
     m.bar = bar;
     return m;
 }
 
-/* By what passes first: a rest, a limit, or the time that an endpoint is cold.
-   Returns false when none of these keeps the request from any. */
-static bool barred_for_a_while(WPFlow *f, WPTime now, WPMove *out)
+/* Fails the request if temporary exclusions alone keep it from some endpoints:
+   for a back-off if that ends first, else for a rate limit, else for a cold
+   start. Returns false when there is no such endpoint. */
+static bool fail_temporarily_excluded(WPFlow *f, WPTime now, WPMove *out)
 {
-    const WPEndpointQuery w = wp_flow_want(f);
-    WPEndpointQuery any =
-        w; /* what it has tried may have asked for rest just now */
-    any.n_tried = 0;
+    const WPEndpointQuery w = wp_flow_query(f);
+    /* Endpoints already tried may have asked for a back-off just now. */
+    WPEndpointQuery with_tried = w;
+    with_tried.n_tried = 0;
     WPFleet *fleet = f->d->fleet;
-    WPExcludedEndpoints limit, cold, rest;
-    bool limited =
+    WPExcludedEndpoints limit, cold, backoff;
+    bool is_limited =
         wp_fleet_find_excluded(fleet, now, &w, WP_EXCLUDED_LIMIT, &limit);
-    bool spared =
+    bool is_cold =
         wp_fleet_find_excluded(fleet, now, &w, WP_EXCLUDED_COLD, &cold);
-    bool rests =
-        wp_fleet_find_excluded(fleet, now, &any, WP_EXCLUDED_BACKOFF, &rest);
-    if (rests &&
-        rest.next_send_us <= MIN(limit.next_send_us, cold.next_send_us))
-        *out = barred(WP_RESTING, rested_ms(f, now, &rest), &rest,
-                      WP_EXCLUDED_BACKOFF);
-    else if (limited)
-        *out =
-            barred(WP_LIMITED, wp_fleet_limit_refused(fleet, now, &w, &limit),
-                   &limit, WP_EXCLUDED_LIMIT);
-    else if (spared)
-        *out = barred(WP_STARTING, ms_until(now, cold.next_send_us), &cold,
-                      WP_EXCLUDED_COLD);
-    return rests || limited || spared;
-}
-
-/* No endpoint takes the request at present: why, and when one may. */
-static WPMove no_endpoint(WPFlow *f, WPTime now)
+    bool is_backing_off = wp_fleet_find_excluded(fleet, now, &with_tried,
+                                                 WP_EXCLUDED_BACKOFF, &backoff);
+    if (is_backing_off &&
+        backoff.next_send_us <= MIN(limit.next_send_us, cold.next_send_us))
+        *out = fail_excluded(WP_RESTING, backoff_retry_ms(f, now, &backoff),
+                             &backoff, WP_EXCLUDED_BACKOFF);
+    else if (is_limited)
+        *out = fail_excluded(WP_LIMITED,
+                             wp_fleet_limit_refused(fleet, now, &w, &limit),
+                             &limit, WP_EXCLUDED_LIMIT);
+    else if (is_cold)
+        *out = fail_excluded(WP_STARTING, ms_until(now, cold.next_send_us),
+                             &cold, WP_EXCLUDED_COLD);
+    return is_backing_off || is_limited || is_cold;
+}
+
+/* The failure of a request that no endpoint takes at present: the reason, and
+   when the caller should retry. */
+static WPMove fail_no_endpoint(WPFlow *f, WPTime now)
 {
     WPMove m;
-    if (!f->spent && barred_for_a_while(f, now, &m))
+    if (!f->spent && fail_temporarily_excluded(f, now, &m))
         return m;
-    const WPEndpointQuery w = wp_flow_want(f);
+    const WPEndpointQuery w = wp_flow_query(f);
     if (wp_fleet_all_outside_areas(f->d->fleet, &w))
-        return move_fail(WP_NO_AREA, NO_AREA_MS);
-    bool kept_out =
+        return fail_action(WP_NO_AREA, NO_AREA_MS);
+    bool is_evacuated =
         wp_fleet_has_evacuated_endpoints(f->d->fleet, f->service->name);
-    return move_fail(WP_NO_ENDPOINT, kept_out ? KEPT_OUT_MS : NO_ENDPOINT_MS);
+    return fail_action(WP_NO_ENDPOINT,
+                       is_evacuated ? EVACUATED_MS : NO_ENDPOINT_MS);
 }
 
-/* The first leg, to this endpoint, unless endpoints have ended under the
-   request. */
-static void begin(WPFlow *f, WPTime now, WPReplica *s, WPMove *out)
+/* Begins the first attempt, at `s`, unless the request may crash endpoints and
+   is not admitted now. Drops the reference to `s` if it is not used. */
+static void begin_first_attempt(WPFlow *f, WPTime now, WPReplica *s,
+                                WPMove *out)
 {
-    switch (
-        wp_suspects_admit(f->d->suspects, now, f->hash, wp_flow_version(s))) {
+    switch (wp_suspects_admit(f->d->suspects, now, f->hash,
+                              wp_flow_version_hash(s))) {
     case WP_SUSPECT_ADMITTED:
-        begin_leg(f, now, s, WP_WHY_FIRST, out);
+        begin_attempt(f, now, s, WP_WHY_FIRST, out);
         return;
     case WP_SUSPECT_IN_FLIGHT:
-        *out = move_fail(WP_IN_DOUBT, IN_DOUBT_MS);
+        *out = fail_action(WP_IN_DOUBT, SUSPECT_BUSY_MS);
         break;
     case WP_SUSPECT_QUARANTINED:
-        *out = move_fail(WP_KEPT_OUT, KEPT_OUT_REQUEST_MS);
+        *out = fail_action(WP_KEPT_OUT, QUARANTINED_MS);
         break;
     }
     wp_replica_unref(s);
 }
 
-static uint32_t when_to_come_back(const WPDirect *d, WPCode code)
+/* After how many milliseconds a caller that is refused with `code` should
+   retry; 0: not told. */
+static uint32_t retry_ms_of(const WPDirect *d, WPCode code)
 {
     if (code == WP_NOT_READY)
-        return d->start.store_unavailable ? AWAY_MS : STARTING_MS;
+        return d->start.store_unavailable ? STORE_DOWN_MS : STARTING_MS;
     return code == WP_NO_ENDPOINT ? NO_ENDPOINT_MS : 0;
 }
 
-/* A request whose route and caller are known. */
-static void place(WPFlow *f, WPTime now, WPMove *out)
+/* Sends a request whose route and caller are known to its first endpoint, or
+   fails it. */
+static void send_first(WPFlow *f, WPTime now, WPMove *out)
 {
     WPDirect *d = f->d;
     wp_budget_request(wp_direct_budget(d, f->service->name), &d->rules.retries,
                       now);
     wp_fleet_count_request(d->fleet, now, f->service->name);
     f->draw = g_rand_double(d->rand);
-    if (wp_flow_skips_ahead(f, now))
+    if (wp_flow_starts_with_largest(f, now))
         f->step = f->route->models->len - 1;
-    WPReplica *s = wp_flow_choose(f, now);
+    WPReplica *s = wp_flow_choose_endpoint(f, now);
     if (s)
-        begin(f, now, s, out);
+        begin_first_attempt(f, now, s, out);
     else
-        *out = no_endpoint(f, now);
+        *out = fail_no_endpoint(f, now);
 }
 
 void wp_flow_enter(WPFlow *f, WPTime now, const WPDirectAsk *ask, WPMove *out)
@@ -294,20 +320,20 @@
     WPDirect *d = f->d;
     WPCode code = admit(f, ask);
     if (code != WP_OK) {
-        *out = move_fail(code, when_to_come_back(d, code));
+        *out = fail_action(code, retry_ms_of(d, code));
         return;
     }
-    f->hash = wp_flow_hash(f, ask);
+    f->hash = wp_flow_request_hash(f, ask);
     set_times(f, ask);
-    if (ask->stay_ms && !wp_flow_fits(f, ask->stay_ms)) {
-        *out = move_fail(WP_LEAVING, LEAVING_MS);
+    if (ask->stay_ms && !wp_flow_can_finish_within(f, ask->stay_ms)) {
+        *out = fail_action(WP_LEAVING, DRAINING_MS);
         return;
     }
-    uint32_t bound_ms = wp_flow_bound_ms(f, now);
+    uint32_t bound_ms = wp_flow_session_bound_ms(f, now);
     if (bound_ms)
-        *out = move_fail(WP_SESSION_BOUND, bound_ms);
+        *out = fail_action(WP_SESSION_BOUND, bound_ms);
     else
-        place(f, now, out);
+        send_first(f, now, out);
 }
 
 WPFlow *wp_flow_begin(WPDirect *d, WPTime now, const WPDirectAsk *ask,
@@ -336,75 +362,80 @@
 
 void wp_flow_held_out(WPFlow *f, WPMove *out)
 {
-    *out = move_fail(WP_NOT_READY, when_to_come_back(f->d, WP_NOT_READY));
+    *out = fail_action(WP_NOT_READY, retry_ms_of(f->d, WP_NOT_READY));
 }
 
+/* Ends the request with an error response, or, when the caller has part of an
+   answer, by aborting that. */
 static void give_up(WPFlow *f, WPCode code, uint32_t retry_ms, WPMove *out)
 {
     if (f->passing)
         *out = (WPMove){ .kind = WP_MOVE_CUT, .code = code };
     else
-        *out = move_fail(code, retry_ms);
+        *out = fail_action(code, retry_ms);
 }
 
-/* The same of a request that no endpoint has run. */
-static void give_up_unrun(WPFlow *f, WPTime now, WPMove *out)
+/* Ends a request that no endpoint has run, with reason and retry time. */
+static void give_up_not_run(WPFlow *f, WPTime now, WPMove *out)
 {
-    const WPMove m = no_endpoint(f, now);
+    const WPMove m = fail_no_endpoint(f, now);
     give_up(f, m.code, m.retry_ms, out);
     out->barred = m.barred;
     out->bar = m.bar;
 }
 
-/* The endpoint did not run it. The request has not run at all only if no
-   earlier leg may have. */
+/* The endpoint did not run the request. The caller is told that it was not run
+   only if no earlier attempt may have run it. */
 static void after_refusal(WPFlow *f, WPTime now, WPAttemptOutcome how,
                           WPMove *out)
 {
     f->refused++;
-    end_this(f, now, how);
-    if (again(f, now, WP_WHY_RETRY, out))
+    end_present_attempt(f, now, how);
+    if (try_again(f, now, WP_WHY_RETRY, out))
         return;
     if (f->ran)
         give_up(f, WP_ENDPOINT_FAILED, 0, out);
     else
-        give_up_unrun(f, now, out);
+        give_up_not_run(f, now, out);
 }
 
-static void pass(WPFlow *f, WPMove *out)
+static void pass_answer(WPFlow *f, WPMove *out)
 {
     f->passing = true;
     *out = (WPMove){ .kind = WP_MOVE_PASS };
 }
 
-static void try_better(WPFlow *f, WPTime now, WPMove *out)
+/* Asks the largest model for a better answer. If that attempt cannot begin, the
+   caller gets the answer in hand. */
+static void try_escalation(WPFlow *f, WPTime now, WPMove *out)
 {
-    WPAttempt had;
+    WPAttempt previous;
     unsigned step = f->step;
-    wp_flow_judge(f, false, WP_TIME_UNKNOWN);
-    had = f->leg;
+    wp_flow_sample_shift(f, false, WP_TIME_UNKNOWN);
+    previous = f->leg;
     f->step = f->route->models->len - 1;
     f->ran++;
-    if (again(f, now, WP_WHY_BETTER, out)) {
-        end_leg(f, now, &had, WP_OUTCOME_OK);
+    if (try_again(f, now, WP_WHY_BETTER, out)) {
+        end_attempt(f, now, &previous, WP_OUTCOME_OK);
         return;
     }
     f->ran--;
     f->step = step;
-    pass(f, out);
+    pass_answer(f, out);
 }
 
-static WPAttemptOutcome refused_how(const WPDirectAnswer *a)
+static WPAttemptOutcome refusal_outcome(const WPDirectAnswer *a)
 {
     if (a->wrong)
         return WP_OUTCOME_WRONG_ENDPOINT;
-    return wp_flow_asks_for_rest(a) ? WP_OUTCOME_BACKOFF : WP_OUTCOME_REFUSED;
+    return wp_flow_requests_backoff(a) ? WP_OUTCOME_BACKOFF
+                                       : WP_OUTCOME_REFUSED;
 }
 
 void wp_flow_answer(WPFlow *f, WPTime now, const WPDirectAnswer *a, WPMove *out)
 {
     if (a->wrong || a->not_run) {
-        after_refusal(f, now, refused_how(a), out);
+        after_refusal(f, now, refusal_outcome(a), out);
         return;
     }
     bool failed = a->status >= 500;
@@ -412,31 +443,33 @@
         wp_flow_lost(f, now, WP_LOSS_BROKEN, out);
         return;
     }
-    wp_flow_note_first(f, now);
+    wp_flow_record_first_byte(f, now);
     if (failed || f->route->retry_policy != WP_RETRY_STREAM)
-        wp_flow_judge(f, failed,
-                      failed ? WP_TIME_UNKNOWN
-                             : wp_flow_judge_time(
-                                   f, f->route->name,
-                                   (double)(now.mono_us - f->leg.sent_us)));
+        wp_flow_sample_shift(f, failed,
+                             failed
+                                 ? WP_TIME_UNKNOWN
+                                 : wp_flow_classify_time(
+                                       f, f->route->name,
+                                       (double)(now.mono_us - f->leg.sent_us)));
     if (failed) {
         f->ran++;
-        end_this(f, now, WP_OUTCOME_FAILED);
-        if (wp_flow_may_repeat(f) && again(f, now, WP_WHY_RETRY, out))
+        end_present_attempt(f, now, WP_OUTCOME_FAILED);
+        if (wp_flow_is_retryable(f) && try_again(f, now, WP_WHY_RETRY, out))
             return;
-        /* A 503 without the mark of a refusal would promise too much. */
+        /* A 503 would tell the caller that the request was not run, which is
+           unknown without the mark of a refusal. */
         if (f->passing || !a->genuine || a->status == 503)
             give_up(f, WP_ENDPOINT_FAILED, 0, out);
         else
             *out = (WPMove){ .kind = WP_MOVE_PASS };
         return;
     }
-    if (f->passing) /* a stream that goes on elsewhere */
+    if (f->passing) /* a stream that was resumed at another endpoint */
         *out = (WPMove){ .kind = WP_MOVE_PASS };
-    else if (wp_flow_wants_better(f, now, a))
-        try_better(f, now, out);
+    else if (wp_flow_should_escalate(f, now, a))
+        try_escalation(f, now, out);
     else
-        pass(f, out);
+        pass_answer(f, out);
 }
 
 void wp_flow_lost(WPFlow *f, WPTime now, WPLoss how, WPMove *out)
@@ -446,11 +479,11 @@
         return;
     }
     f->ran++;
-    WPAttemptOutcome served = wp_flow_ended_how(f, how);
-    wp_flow_note_ended(f, now);
-    end_this(f, now, served);
+    WPAttemptOutcome served = wp_flow_loss_outcome(f, how);
+    wp_flow_record_crash(f, now);
+    end_present_attempt(f, now, served);
     WPWhy why = f->passing ? WP_WHY_RESUME : WP_WHY_RETRY;
-    if (wp_flow_may_repeat(f) && again(f, now, why, out))
+    if (wp_flow_is_retryable(f) && try_again(f, now, why, out))
         return;
     give_up(f, how == WP_LOSS_SILENT ? WP_LINK_LOST : WP_ENDPOINT_FAILED, 0,
             out);
@@ -458,17 +491,17 @@
 
 bool wp_flow_impatient(WPFlow *f, WPTime now, WPMove *out)
 {
-    WPAttempt had = f->leg;
-    if (had.heard || f->passing || f->hurried || !had.replica)
+    WPAttempt previous = f->leg;
+    if (previous.heard || f->passing || f->hurried || !previous.replica)
         return false;
     if (f->n_tried == WP_FLOW_TRIED_MOST)
         return false;
-    wp_flow_judge_overdue(f, now);
+    wp_flow_sample_overdue(f, now);
     f->hurried = true;
-    f->tried[f->n_tried++] = wp_replica_ref(had.replica);
+    f->tried[f->n_tried++] = wp_replica_ref(previous.replica);
     f->ran++;
-    if (again(f, now, WP_WHY_RETRY, out)) {
-        end_leg(f, now, &had, WP_OUTCOME_NO_RESPONSE);
+    if (try_again(f, now, WP_WHY_RETRY, out)) {
+        end_attempt(f, now, &previous, WP_OUTCOME_NO_RESPONSE);
         return true;
     }
     f->ran--;
@@ -479,16 +512,17 @@
 void wp_flow_expired(WPFlow *f, WPTime now, WPMove *out)
 {
     bool sent = f->leg.replica || f->ran;
-    wp_flow_judge_overdue(f, now);
-    end_this(f, now,
-             f->leg.heard ? WP_OUTCOME_ABANDONED : WP_OUTCOME_NO_RESPONSE);
+    wp_flow_sample_overdue(f, now);
+    end_present_attempt(
+        f, now, f->leg.heard ? WP_OUTCOME_ABANDONED : WP_OUTCOME_NO_RESPONSE);
     if (sent)
         give_up(f, WP_TIMED_OUT, 0, out);
     else
-        give_up_unrun(f, now, out);
+        give_up_not_run(f, now, out);
 }
 
-/* A session binds from the end of its last request. */
+/* The time for which a session stays bound to its version starts at the end of
+   its last request. */
 static void note_session(WPFlow *f, WPTime now)
 {
     if (f->session && f->leg.replica && f->passing)
@@ -497,10 +531,10 @@
 
 void wp_flow_done(WPFlow *f, WPTime now, uint64_t events)
 {
-    wp_flow_judge_pace(f, now, events);
-    wp_flow_learn_pause(f);
+    wp_flow_sample_event_gap(f, now, events);
+    wp_flow_learn_stall(f);
     note_session(f, now);
-    end_this(f, now, WP_OUTCOME_OK);
+    end_present_attempt(f, now, WP_OUTCOME_OK);
     if (wp_suspects_completed(f->d->suspects, now, f->hash))
         wp_count(&f->d->counters, WP_C_SUSPECTS_CLEARED);
     wp_count(&f->d->counters, WP_C_ANSWERED);
@@ -512,7 +546,7 @@
 void wp_flow_left(WPFlow *f, WPTime now)
 {
     note_session(f, now);
-    end_this(f, now, WP_OUTCOME_ABANDONED);
+    end_present_attempt(f, now, WP_OUTCOME_ABANDONED);
     wp_count(&f->d->counters, WP_C_CALLERS_GONE);
 }
 
--- a/src/wp_flow_int.h
+++ b/src/wp_flow_int.h
@@ -1,96 +1,109 @@
-/* What wp_flow.c and wp_flow_pick.c share. */
+/* Declarations shared by the parts of the request flow, wp_flow*.c. */
 #ifndef WP_FLOW_INT_H
 #define WP_FLOW_INT_H
 
 #include "wp_direct_int.h"
 
-/* Whether the request may be sent again after it may have run. */
-bool wp_flow_may_repeat(const WPFlow *f);
-
-/* Whether it has one leg at a time, without better answers and without haste,
-   as endpoints have ended under it. */
-bool wp_flow_is_single(const WPFlow *f);
-
-/* What names the request wherever its caller sends it, and the version of an
-   endpoint. */
-uint64_t wp_flow_hash(const WPFlow *f, const WPDirectAsk *ask);
-uint64_t wp_flow_version(const WPReplica *s);
-
-/* How the leg ended that has lost its connection; and the note that its
-   endpoint may have ended under the request. */
-WPAttemptOutcome wp_flow_ended_how(const WPFlow *f, WPLoss how);
-void wp_flow_note_ended(WPFlow *f, WPTime now);
-
-/* The model to name to the endpoint. */
+/* Whether the request may be sent again after an attempt that may have run it:
+   its route says that repeating is safe, or its stream can be resumed. */
+bool wp_flow_is_retryable(const WPFlow *f);
+
+/* Whether the request must run at one endpoint at a time, with neither
+   escalations nor first-byte time-outs, because it may crash endpoints: two or
+   more crashed during it. */
+bool wp_flow_is_serialized(const WPFlow *f);
+
+/* Hash of workspace, host and content (method, target and body), the same at
+   each box to which a caller sends the request; and hash of an endpoint's
+   service and version. */
+uint64_t wp_flow_request_hash(const WPFlow *f, const WPDirectAsk *ask);
+uint64_t wp_flow_version_hash(const WPReplica *s);
+
+/* wp_flow_loss_outcome() returns the outcome of the present attempt, whose
+   connection was lost; wp_flow_record_crash() records that its endpoint may
+   have crashed during the request. */
+WPAttemptOutcome wp_flow_loss_outcome(const WPFlow *f, WPLoss how);
+void wp_flow_record_crash(WPFlow *f, WPTime now);
+
+/* The name of the model to request from the endpoint: the present one of the
+   route's list, else the one that the caller named; may be empty. */
 WPStr wp_flow_model(const WPFlow *f);
 
-/* The move of the request's service between versions, or NULL. */
+/* The shift of the request's service between versions, or NULL. */
 WPShift *wp_flow_shift(const WPFlow *f);
 
-int64_t wp_flow_left_ms(const WPFlow *f, WPTime now);
+/* Milliseconds until the deadline of the request; below 0: it has passed. */
+int64_t wp_flow_remaining_ms(const WPFlow *f, WPTime now);
+
+/* The model of the time to first byte (TTFB) with `model`; and the expected
+   TTFB of this request with it, 0: unknown. `*prefill_us` gets the part of it
+   that is prefill of the prompt, 0: unknown. */
+WPTtfbModel *wp_flow_ttfb_model(WPFlow *f, WPStr model);
+double wp_flow_expected_ttfb_us(WPFlow *f, WPTime now, WPStr model,
+                                double *prefill_us);
 
-/* What is known of how long the first byte takes with a model, and how long it
-   takes for this request; 0: not known. */
-WPTtfbModel *wp_flow_speed(WPFlow *f, WPStr model);
-double wp_flow_expect_us(WPFlow *f, WPTime now, WPStr model,
-                         double *reading_us);
+/* Time-out for the first byte of the present attempt, after which another
+   endpoint is tried; 0: none. */
+uint32_t wp_flow_first_byte_timeout_ms(WPFlow *f);
 
-/* How long the first byte is waited for before another endpoint is asked; 0:
-   no other is. */
-uint32_t wp_flow_patience(WPFlow *f);
+/* What the request requires of an endpoint with its present model. */
+WPEndpointQuery wp_flow_query(WPFlow *f);
 
-/* What the request wants of an endpoint with its present model. */
-WPEndpointQuery wp_flow_want(WPFlow *f);
+/* wp_flow_learn.c: what attempts show of endpoints and versions.
 
-/* wp_flow_learn.c: what legs tell. Share of places taken from which on a
-   version may be bad under load: */
-#define WP_FLOW_HALF_FULL 0.5
+   Utilization of an endpoint from which on a version may fail under load: */
+#define WP_FLOW_LOADED_SHARE 0.5
 
-/* Whether an endpoint so full may be slow for that. */
-bool wp_flow_is_crowded(const WPFlow *f, double taken);
+/* Whether an endpoint at this utilization may be slow because of its load. */
+bool wp_flow_endpoint_is_busy(const WPFlow *f, double utilization);
 
-/* How a leg ended, for versions that fail on loaded endpoints. */
-void wp_flow_learn_load(WPFlow *f, WPTime now, const WPAttempt *leg,
-                        WPAttemptOutcome how);
+/* Counts the outcome of an attempt, to detect versions that fail under load. */
+void wp_flow_learn_load_failures(WPFlow *f, WPTime now,
+                                 const WPAttempt *attempt,
+                                 WPAttemptOutcome how);
 
-/* The first byte of the leg has come. */
-void wp_flow_note_first(WPFlow *f, WPTime now);
+/* The first byte of the present attempt has arrived: learns from its time. */
+void wp_flow_record_first_byte(WPFlow *f, WPTime now);
 
-/* What the leg tells of the version that it was on; once a leg. */
-void wp_flow_judge(WPFlow *f, bool failed, WPAnswerTime time);
+/* Adds the present attempt to the samples by which a running shift is judged,
+   at most once per attempt. `time`: the class of its time. */
+void wp_flow_sample_shift(WPFlow *f, bool failed, WPAnswerTime time);
 
-/* How a time lies among the old version's; `what`: with whose times it is
-   compared. */
-WPAnswerTime wp_flow_judge_time(WPFlow *f, const char *what, double us);
+/* Classifies the time `us` of the present attempt by the quartiles of the times
+   learned for `what` (a route, or a service for event gaps) and the model. */
+WPAnswerTime wp_flow_classify_time(WPFlow *f, const char *what, double us);
 
-/* What a whole stream tells of pauses at its endpoint. */
-void wp_flow_learn_pause(WPFlow *f);
+/* Learns from a complete stream how streams stall at its endpoint. */
+void wp_flow_learn_stall(WPFlow *f);
 
-/* By the pace of its events; by its not having come yet. */
-void wp_flow_judge_pace(WPFlow *f, WPTime now, uint64_t events);
-void wp_flow_judge_overdue(WPFlow *f, WPTime now);
+/* As wp_flow_sample_shift(): the former by the mean gap between the stream's
+   `events` so far, the latter by how long a non-streaming answer is overdue. */
+void wp_flow_sample_event_gap(WPFlow *f, WPTime now, uint64_t events);
+void wp_flow_sample_overdue(WPFlow *f, WPTime now);
 
-/* How long the request's session still binds it to a version that has been left
-   while the next order runs; 0: it does not. Wherever it went it would change
-   its version beside a move that it is no part of. */
-uint32_t wp_flow_bound_ms(const WPFlow *f, WPTime now);
+/* For how many milliseconds the request's session still binds it to a version
+   that an earlier shift retired, while the next shift runs; 0: it does not. At
+   any endpoint the session would then change its version beside a shift of
+   which it is no part. */
+uint32_t wp_flow_session_bound_ms(const WPFlow *f, WPTime now);
 
-/* wp_flow_head.c: whether the answer refuses and asks for rest. */
-bool wp_flow_asks_for_rest(const WPDirectAnswer *a);
+/* wp_flow_head.c: whether the answer is a refusal that asks for a back-off. */
+bool wp_flow_requests_backoff(const WPDirectAnswer *a);
 
-/* The endpoint for the next leg, held; NULL when there is none. */
-WPReplica *wp_flow_choose(WPFlow *f, WPTime now);
+/* The endpoint for the next attempt, with a reference for the caller; NULL when
+   there is none. */
+WPReplica *wp_flow_choose_endpoint(WPFlow *f, WPTime now);
 
-/* Whether the answer will surely be whole within `left_ms`. No stream's is: its
-   length is only guessed, and a stream that is cut costs more than one that is
-   refused. */
-bool wp_flow_fits(WPFlow *f, uint32_t left_ms);
+/* Whether the answer will almost certainly be complete within `left_ms`. False
+   for all streams: their length is only estimated, and a stream that is aborted
+   costs more than one that is refused. */
+bool wp_flow_can_finish_within(WPFlow *f, uint32_t left_ms);
 
-/* Whether the answer in hand is to be dropped for the largest model's. */
-bool wp_flow_wants_better(WPFlow *f, WPTime now, const WPDirectAnswer *a);
+/* Whether to discard the answer in hand and escalate to the largest model. */
+bool wp_flow_should_escalate(WPFlow *f, WPTime now, const WPDirectAnswer *a);
 
-/* Whether to begin with the largest model: asking the smallest first would
-   make most answers that need the largest late. */
-bool wp_flow_skips_ahead(WPFlow *f, WPTime now);
+/* Whether to start with the largest model: trying the smallest first would make
+   most answers that need the largest one late. */
+bool wp_flow_starts_with_largest(WPFlow *f, WPTime now);
 
 #endif
--- a/src/wp_plan.c
+++ b/src/wp_plan.c
@@ -1,8 +1,10 @@
 /* The plan of one request: its session, its version, its endpoint. */
 #include "wp_entry_int.h"
 
-#define KEEPER_PAUSE_MS 50
-#define KEEPER_WAIT_US (3 * WP_US_PER_S)
+/* While the owner of an idempotency key changes, the next one is asked again
+   after each of these times, and for how long after the request's beginning. */
+#define OWNER_RETRY_MS 50
+#define OWNER_WAIT_MAX_US (3 * WP_US_PER_S)
 
 WPStep wp_final(WPCode code, uint32_t retry_ms)
 {
@@ -11,21 +13,21 @@
 
 WPStep wp_later(void)
 {
-    return (WPStep){ WP_STEP_LATER, WP_NOT_KEEPER, KEEPER_PAUSE_MS, NULL };
+    return (WPStep){ WP_STEP_LATER, WP_NOT_KEEPER, OWNER_RETRY_MS, NULL };
 }
 
 bool wp_may_wait_for_keeper(const WPRequest *r, WPTime now)
 {
-    return !r->repeatable && now.mono_us - r->begun_us < KEEPER_WAIT_US &&
-           now.mono_us + KEEPER_PAUSE_MS * WP_US_PER_MS < r->deadline_us;
+    return !r->repeatable && now.mono_us - r->begun_us < OWNER_WAIT_MAX_US &&
+           now.mono_us + OWNER_RETRY_MS * WP_US_PER_MS < r->deadline_us;
 }
 
-static bool has_free_place(const WPPool *pool, int64_t now_us)
+static bool has_free_slot(const WPPool *pool, int64_t now_us)
 {
-    GPtrArray *const sides[] = { pool->near, pool->far };
+    GPtrArray *const pools[] = { pool->near, pool->far };
     for (int s = 0; s < 2; s++) {
-        for (guint i = 0; i < MIN(sides[s]->len, WP_PICK_MAX); i++) {
-            const WPEndpoint *p = sides[s]->pdata[i];
+        for (guint i = 0; i < MIN(pools[s]->len, WP_PICK_MAX); i++) {
+            const WPEndpoint *p = pools[s]->pdata[i];
             if (wp_endpoint_usable(p, now_us) && p->inflight < p->slots &&
                 now_us >= p->busy_until_us)
                 return true;
@@ -34,8 +36,8 @@
     return false;
 }
 
-/* Versions of `set` without a free place; those without any endpoint leave
-   the set as long as another is left. */
+/* Returns the versions of `set` of which no endpoint has a free slot. Removes
+   those without any endpoint from `set` as long as others are left. */
 static WPVersionSet busy_versions(WPEntry *e, WPTime now, WPVersionSet *set)
 {
     WPVersionSet busy = { 0 }, served = { 0 };
@@ -44,7 +46,7 @@
         if (!wp_version_set_has(set, i) || !(pool->near->len + pool->far->len))
             continue;
         wp_version_set_add(&served, i);
-        if (!has_free_place(pool, now.mono_us))
+        if (!has_free_slot(pool, now.mono_us))
             wp_version_set_add(&busy, i);
     }
     if (!wp_version_set_empty(&served))
@@ -58,7 +60,7 @@
     return (double)u->explored < WP_EXPLORE_CAP * (double)u->requests;
 }
 
-/* The chooser's word on these versions. */
+/* Lets the entry's chooser choose among the versions in `allowed`. */
 static WPVersionChoice choose_among(WPEntry *e, WPTime now, const WPRequest *r,
                                     const WPKind *kind, WPVersionSet allowed,
                                     bool may_explore)
@@ -84,8 +86,8 @@
     return wp_policy_version_at(e->policy, (unsigned)index)->spec->name;
 }
 
-static void choose_free(WPEntry *e, WPTime now, WPRequest *r,
-                        const WPKind *kind)
+static void choose_version(WPEntry *e, WPTime now, WPRequest *r,
+                           const WPKind *kind)
 {
     bool may = may_explore(e, r);
     WPVersionChoice got = choose_among(e, now, r, kind, r->allowed, may);
@@ -126,8 +128,8 @@
     r->explored = false;
 }
 
-static void keep_service(const WPPolicy *p, const char *service,
-                         WPVersionSet *set)
+static void keep_only_service(const WPPolicy *p, const char *service,
+                              WPVersionSet *set)
 {
     for (unsigned i = 0; i < wp_policy_versions(p); i++) {
         const char *s = wp_policy_version_at(p, i)->spec->service;
@@ -176,16 +178,16 @@
 {
     wp_policy_allowed(e->policy, ws, kind, r->labels, &r->allowed);
     if (r->service)
-        keep_service(e->policy, r->service, &r->allowed);
+        keep_only_service(e->policy, r->service, &r->allowed);
     else if (!wp_policy_filter_model(e->policy, r->model ? r->model : "auto",
                                      &r->allowed))
         return WP_UNKNOWN_MODEL;
     return wp_version_set_empty(&r->allowed) ? WP_NO_VERSION : WP_OK;
 }
 
-/* Whether the version is being rolled out: the sooner it is known, the fewer
-   are exposed to it. */
-static bool on_trial(const WPPolicy *p, const char *version)
+/* Whether the version is being rolled out: the sooner its quality is known, the
+   fewer requests are exposed to it. */
+static bool is_rolling_out(const WPPolicy *p, const char *version)
 {
     for (unsigned i = 0; i < wp_policy_rollouts(p); i++) {
         const Wp__Rollout *r = wp_policy_rollout_at(p, i)->spec;
@@ -213,19 +215,19 @@
     if (claim || r->session_id)
         place_session(e, now, r, kind, claim);
     if (!r->version)
-        choose_free(e, now, r, kind);
+        choose_version(e, now, r, kind);
     if (r->version && !r->service)
         sign_token(e, now, r, claim, r->start_ms);
     r->ask_rating = r->version && !r->service &&
-                    (r->explored || on_trial(e->policy, r->version));
+                    (r->explored || is_rolling_out(e->policy, r->version));
     wp_pb_free(claim);
     return r->version ? WP_OK : WP_NO_VERSION;
 }
 
-/* The agent that keeps the request's key; `known` tells whether there is one,
-   even if it may not be asked now because it is leaving. */
-static WPEndpoint *pick_keeper(WPEntry *e, WPTime now, const WPRequest *r,
-                               bool *known)
+/* The agent that owns the request's idempotency key, or NULL. `*known` tells
+   whether there is an owner, even if it is draining and not to be asked now. */
+static WPEndpoint *pick_key_owner(WPEntry *e, WPTime now, const WPRequest *r,
+                                  bool *known)
 {
     const WPMemberRow *row =
         wp_once_keeper(wp_node_members(e->node), r->version, r->once_key,
@@ -255,12 +257,12 @@
 {
     const WPVersion *v = wp_policy_version(e->policy, r->version);
     WPEndpoint *p = NULL;
-    bool keeper = false;
+    bool has_owner = false;
     if (v && r->once_key && !r->repeatable)
-        p = pick_keeper(e, now, r, &keeper);
+        p = pick_key_owner(e, now, r, &has_owner);
     else if (v && v->index < e->n_pools)
         p = pick_balanced(e, now, r, &e->pools[v->index]);
-    if (!p && keeper && wp_may_wait_for_keeper(r, now))
+    if (!p && has_owner && wp_may_wait_for_keeper(r, now))
         return wp_later();
     if (!p)
         return r->n_tried ? wp_final(r->last_refusal, r->last_retry_ms)
--- a/src/wp_queue.c
+++ b/src/wp_queue.c
@@ -1,37 +1,38 @@
-/* Classes, weighted fairness and early refusal at one endpoint. */
+/* Priority classes, weighted fair sharing and early refusal at one endpoint. */
 #include "wp_queue.h"
 
 #include <math.h>
 
-#define SMOOTH 0.1
+/* Weight of the newest value in the smoothed service time. */
+#define SERVICE_TIME_WEIGHT 0.1
 #define FIRST_SERVICE_US 100000.0
-#define RETRY_LEAST_MS 50
-#define RETRY_MOST_MS 30000
+#define RETRY_MIN_MS 50
+#define RETRY_MAX_MS 30000
 
-/* How long use of the endpoint is held against a workspace: long enough that
-   a small one's chance clusters are not taken for greed. */
-#define MEMORY_US (10.0 * WP_US_PER_S)
+/* Time constant with which a workspace's past use of the endpoint decays: long
+   enough that chance bursts of a small workspace do not count as overuse. */
+#define USE_DECAY_US (10.0 * WP_US_PER_S)
 
 typedef struct Share {
     char workspace[64];
-    double used; /* work begun of late, fading */
-    int64_t faded_us;
+    double used; /* work begun recently, decaying */
+    int64_t decayed_us;
     unsigned waiting;
     double weight;
 } Share;
 
 struct WPQueue {
-    unsigned slots, limit, running, waiting;
+    unsigned slots, max_waiting, running, waiting;
     WPList queue;   /* of WPTicket, in order of arrival */
     GArray *shares; /* of Share; workspaces seen */
     double service_us;
 };
 
-WPQueue *wp_queue_new(unsigned slots, unsigned limit)
+WPQueue *wp_queue_new(unsigned slots, unsigned max_waiting)
 {
     WPQueue *q = g_new0(WPQueue, 1);
     q->slots = slots;
-    q->limit = limit;
+    q->max_waiting = max_waiting;
     q->service_us = FIRST_SERVICE_US;
     q->shares = g_array_new(FALSE, TRUE, sizeof(Share));
     wp_list_init(&q->queue);
@@ -53,53 +54,54 @@
 
 static Share *share_of(WPQueue *q, const WPTicket *t)
 {
-    Share fresh = { .weight = t->weight };
+    Share new_share = { .weight = t->weight };
     for (guint i = 0; i < q->shares->len; i++) {
         Share *s = &g_array_index(q->shares, Share, i);
         if (!strcmp(s->workspace, t->workspace))
             return s;
     }
-    g_strlcpy(fresh.workspace, t->workspace, sizeof(fresh.workspace));
-    g_array_append_val(q->shares, fresh);
+    g_strlcpy(new_share.workspace, t->workspace, sizeof(new_share.workspace));
+    g_array_append_val(q->shares, new_share);
     return &g_array_index(q->shares, Share, q->shares->len - 1);
 }
 
-static void fade(Share *s, int64_t now_us)
+static void decay(Share *s, int64_t now_us)
 {
-    s->used *= exp(-(double)(now_us - s->faded_us) / MEMORY_US);
-    s->faded_us = now_us;
+    s->used *= exp(-(double)(now_us - s->decayed_us) / USE_DECAY_US);
+    s->decayed_us = now_us;
 }
 
-static void fade_all(WPQueue *q, int64_t now_us)
+static void decay_all(WPQueue *q, int64_t now_us)
 {
     for (guint i = 0; i < q->shares->len; i++)
-        fade(&g_array_index(q->shares, Share, i), now_us);
+        decay(&g_array_index(q->shares, Share, i), now_us);
 }
 
-/* What the workspace has had of late, by its weight. */
-static double had(const Share *s)
+/* The recent use of the workspace relative to its weight. */
+static double relative_use(const Share *s)
 {
     return s->used / s->weight;
 }
 
-/* The same with what it waits for. */
-static double claimed(const Share *s, unsigned more)
+/* The same with its waiting tickets and `more` new ones. */
+static double relative_claim(const Share *s, unsigned more)
 {
     return (s->used + s->waiting + more) / s->weight;
 }
 
-/* Places taken before `t`: by better classes, by its own workspace, and by
-   those that have had less. */
+/* The expected wait of `t` in microseconds: slots are taken first by better
+   classes, by its own workspace, and by workspaces that have had less. */
 static double expected_wait(WPQueue *q, const WPTicket *t)
 {
-    const double own = had(share_of(q, t));
+    const double own = relative_use(share_of(q, t));
     unsigned ahead = 0;
     if (q->running < q->slots && !q->waiting)
         return 0;
     wp_list_each (it, &q->queue) {
         const WPTicket *o = wp_list_item(it, WPTicket, link);
-        ahead += o->rank < t->rank ||
-                 (o->rank == t->rank && had(share_of(q, o)) <= own);
+        ahead += o->class_rank < t->class_rank ||
+                 (o->class_rank == t->class_rank &&
+                  relative_use(share_of(q, o)) <= own);
     }
     return (ahead + 1) * q->service_us / MAX(q->slots, 1);
 }
@@ -107,7 +109,7 @@
 static bool can_finish(const WPQueue *q, const WPTicket *t, int64_t now_us,
                        double wait_us)
 {
-    double work = q->service_us * t->size;
+    double work = q->service_us * t->relative_work;
     return (double)now_us + wait_us + work <= (double)t->deadline_us;
 }
 
@@ -130,33 +132,34 @@
     t->running = true;
     t->started_us = now_us;
     q->running++;
-    share_of(q, t)->used += t->size;
+    share_of(q, t)->used += t->relative_work;
 }
 
-/* The ticket that gives way when the queue is full: of the worst class, of
-   the workspace that claims most for its weight, the newest. */
-static WPTicket *worst(WPQueue *q)
+/* The ticket that is evicted when the queue is full: of the lowest class, of
+   the workspace that claims most relative to its weight, the newest. */
+static WPTicket *eviction_candidate(WPQueue *q)
 {
-    WPTicket *worst = NULL;
-    double most = 0;
+    WPTicket *candidate = NULL;
+    double max_claim = 0;
     wp_list_each (it, &q->queue) {
         WPTicket *t = wp_list_item(it, WPTicket, link);
-        double claim = claimed(share_of(q, t), 0);
-        if (worst &&
-            (t->rank < worst->rank || (t->rank == worst->rank && claim < most)))
+        double claim = relative_claim(share_of(q, t), 0);
+        if (candidate &&
+            (t->class_rank < candidate->class_rank ||
+             (t->class_rank == candidate->class_rank && claim < max_claim)))
             continue;
-        worst = t;
-        most = claim;
+        candidate = t;
+        max_claim = claim;
     }
-    return worst;
+    return candidate;
 }
 
-static bool gives_way(WPQueue *q, const WPTicket *old, const WPTicket *t)
+static bool is_evicted_for(WPQueue *q, const WPTicket *old, const WPTicket *t)
 {
-    if (old->rank != t->rank)
-        return old->rank > t->rank;
-    double old_claim = claimed(share_of(q, old), 0);
-    return old_claim > claimed(share_of(q, t), 1);
+    if (old->class_rank != t->class_rank)
+        return old->class_rank > t->class_rank;
+    double old_claim = relative_claim(share_of(q, old), 0);
+    return old_claim > relative_claim(share_of(q, t), 1);
 }
 
 WPAdmit wp_queue_offer(WPQueue *q, int64_t now_us, WPTicket *t, WPCode *code,
@@ -164,12 +167,12 @@
 {
     *evicted = NULL;
     wp_list_init(&t->link);
-    t->offered_us = now_us;
+    t->arrived_us = now_us;
     t->running = false;
-    if (t->size <= 0)
-        t->size = 1;
+    if (t->relative_work <= 0)
+        t->relative_work = 1;
     share_of(q, t)->weight = t->weight;
-    fade_all(q, now_us);
+    decay_all(q, now_us);
     if (!can_finish(q, t, now_us, expected_wait(q, t))) {
         *code = WP_LATE;
         return WP_ADMIT_REFUSE;
@@ -178,9 +181,9 @@
         start(q, now_us, t);
         return WP_ADMIT_RUN;
     }
-    if (q->waiting >= q->limit) {
-        WPTicket *old = worst(q);
-        if (!old || !gives_way(q, old, t)) {
+    if (q->waiting >= q->max_waiting) {
+        WPTicket *old = eviction_candidate(q);
+        if (!old || !is_evicted_for(q, old, t)) {
             *code = WP_OVERLOADED;
             return WP_ADMIT_REFUSE;
         }
@@ -191,7 +194,7 @@
     return WP_ADMIT_WAIT;
 }
 
-void wp_queue_leave(WPQueue *q, int64_t now_us, WPTicket *t, bool completed)
+void wp_queue_remove(WPQueue *q, int64_t now_us, WPTicket *t, bool completed)
 {
     if (!t->running) {
         dequeue(q, t);
@@ -200,35 +203,35 @@
     t->running = false;
     q->running--;
     if (completed) {
-        double took = (double)(now_us - t->started_us) / t->size;
-        q->service_us += SMOOTH * (took - q->service_us);
+        double took = (double)(now_us - t->started_us) / t->relative_work;
+        q->service_us += SERVICE_TIME_WEIGHT * (took - q->service_us);
     }
 }
 
-/* The best class first; in it the workspace that has had least; of one
-   workspace the oldest. */
-WPTicket *wp_queue_next(WPQueue *q, int64_t now_us)
+/* The best class first; in it the workspace with the least use; of one
+   workspace the oldest ticket. */
+WPTicket *wp_queue_start_next(WPQueue *q, int64_t now_us)
 {
     WPTicket *best = NULL;
-    double least = 0;
+    double least_use = 0;
     if (q->running >= q->slots || !q->waiting)
         return NULL;
-    fade_all(q, now_us);
+    decay_all(q, now_us);
     wp_list_each (it, &q->queue) {
         WPTicket *t = wp_list_item(it, WPTicket, link);
-        double level = had(share_of(q, t));
-        if (best &&
-            (t->rank > best->rank || (t->rank == best->rank && level >= least)))
+        double use = relative_use(share_of(q, t));
+        if (best && (t->class_rank > best->class_rank ||
+                     (t->class_rank == best->class_rank && use >= least_use)))
             continue;
         best = t;
-        least = level;
+        least_use = use;
     }
     dequeue(q, best);
     start(q, now_us, best);
     return best;
 }
 
-WPTicket *wp_queue_hopeless(WPQueue *q, int64_t now_us)
+WPTicket *wp_queue_pop_late(WPQueue *q, int64_t now_us)
 {
     wp_list_each (it, &q->queue) {
         WPTicket *t = wp_list_item(it, WPTicket, link);
@@ -265,8 +268,8 @@
     unsigned ahead = 1;
     wp_list_each (it, &q->queue) {
         const WPTicket *t = wp_list_item(it, WPTicket, link);
-        ahead += t->rank <= rank;
+        ahead += t->class_rank <= rank;
     }
     double ms = ahead * q->service_us / MAX(q->slots, 1) / WP_US_PER_MS;
-    return (uint32_t)CLAMP(ms, RETRY_LEAST_MS, RETRY_MOST_MS);
+    return (uint32_t)CLAMP(ms, RETRY_MIN_MS, RETRY_MAX_MS);
 }
--- a/src/wp_sse.c
+++ b/src/wp_sse.c
@@ -21,7 +21,8 @@
     s->partial = NULL;
 }
 
-bool wp_usage_read(WPStr text, uint32_t *prompt_tokens, uint32_t *answer_tokens)
+bool wp_sse_parse_usage(WPStr text, uint32_t *prompt_tokens,
+                        uint32_t *answer_tokens)
 {
     json_t *j = json_loadb(text.p, text.n, 0, NULL);
     json_t *u = json_object_get(j, "usage");
@@ -36,7 +37,7 @@
     return found;
 }
 
-/* Whether the event goes to the caller. */
+/* Counts one complete event; returns whether it goes to the caller. */
 static bool take_event(WPSse *s, WPStr event)
 {
     size_t skip = strlen(DATA);
@@ -48,7 +49,7 @@
         return true;
     }
     if (memmem(data.p, data.n, USAGE, strlen(USAGE)) &&
-        wp_usage_read(data, &s->prompt_tokens, &s->answer_tokens)) {
+        wp_sse_parse_usage(data, &s->prompt_tokens, &s->answer_tokens)) {
         s->has_usage = true;
         return s->want_usage;
     }
--- a/src/wp_sse.h
+++ b/src/wp_sse.h
@@ -1,12 +1,12 @@
-/* Server-sent events of an engine's answer: passes on whole events, counts
- * the tokens, and takes the usage out for the bill. */
+/* Server-sent events of an engine's answer: passes on complete events, counts
+ * the tokens, and extracts the usage for the bill. */
 #ifndef WP_SSE_H
 #define WP_SSE_H
 
 #include "wp_base.h"
 
 typedef struct WPSse {
-    GByteArray *partial; /* an event that has not wholly come */
+    GByteArray *partial; /* an event that has not arrived completely */
     bool want_usage;     /* the caller asked for the usage event */
     bool done;           /* [DONE] was seen */
     bool has_usage;
@@ -14,14 +14,16 @@
     uint32_t prompt_tokens, answer_tokens;
 } WPSse;
 
+/* `want_usage`: see WPSse. */
 void wp_sse_init(WPSse *s, bool want_usage);
 void wp_sse_end(WPSse *s);
 
-/* Appends what may be passed on to `out`. */
+/* Takes the next `n` bytes and appends the complete events that the caller is
+   to get to `out`. */
 void wp_sse_feed(WPSse *s, const uint8_t *data, size_t n, GByteArray *out);
 
 /* Reads {"usage": {...}} out of a JSON text; false when there is none. */
-bool wp_usage_read(WPStr json, uint32_t *prompt_tokens,
-                   uint32_t *answer_tokens);
+bool wp_sse_parse_usage(WPStr json, uint32_t *prompt_tokens,
+                        uint32_t *answer_tokens);
 
 #endif
--- a/src/wp_stream.c
+++ b/src/wp_stream.c
@@ -12,18 +12,18 @@
     g_byte_array_unref(s->partial);
 }
 
-void wp_stream_after(WPStream *s, uint64_t id)
+void wp_stream_set_last_id(WPStream *s, uint64_t id)
 {
-    s->has_last = true;
-    s->last = id;
+    s->has_last_id = true;
+    s->last_id = id;
 }
 
-void wp_stream_restart(WPStream *s)
+void wp_stream_discard_partial(WPStream *s)
 {
     g_byte_array_set_size(s->partial, 0);
 }
 
-/* The length of the first whole event with its empty line; 0: none. */
+/* The length of the first complete event with its empty line; 0: none. */
 static size_t event_length(const char *p, size_t n)
 {
     for (size_t i = 0; i + 1 < n; i++) {
@@ -55,18 +55,18 @@
     return false;
 }
 
-/* Passes one event on unless the caller has it; false when one before it is
-   missing. */
+/* Passes one event on unless the caller has it already; false when one before
+   it is missing. */
 static bool take_event(WPStream *s, const char *p, size_t n, GByteArray *out)
 {
     uint64_t id;
     if (event_id(wp_strn(p, n), &id)) {
-        if (s->has_last && id <= s->last)
+        if (s->has_last_id && id <= s->last_id)
             return true;
-        if (s->has_last && id != s->last + 1)
+        if (s->has_last_id && id != s->last_id + 1)
             return false;
-        s->has_last = true;
-        s->last = id;
+        s->has_last_id = true;
+        s->last_id = id;
     }
     s->events++;
     g_byte_array_append(out, (const guint8 *)p, (guint)n);
@@ -89,7 +89,7 @@
     return in_order;
 }
 
-bool wp_stream_is_even(const WPStream *s)
+bool wp_stream_at_event_boundary(const WPStream *s)
 {
     return s->partial->len == 0;
 }
--- a/src/wp_stream.h
+++ b/src/wp_stream.h
@@ -1,32 +1,34 @@
 /* Events of a stream (text/event-stream) on their way from an endpoint to a
- * caller: only whole ones are passed on, in order, none twice, so that the
- * stream can go on at another endpoint after a break. */
+ * caller: only complete ones are passed on, in order, none twice, so that the
+ * stream can be resumed at another endpoint after a break. */
 #ifndef WP_STREAM_H
 #define WP_STREAM_H
 
 #include "wp_base.h"
 
 typedef struct WPStream {
-    GByteArray *partial; /* an event that has not wholly come */
-    bool has_last;
-    uint64_t last; /* id of the last event passed on */
+    GByteArray *partial; /* an event that has not arrived completely */
+    bool has_last_id;
+    uint64_t last_id; /* id of the last event passed on */
     uint64_t events;
 } WPStream;
 
 void wp_stream_init(WPStream *s);
 void wp_stream_end(WPStream *s);
 
-/* The caller has events up to this one already. */
-void wp_stream_after(WPStream *s, uint64_t id);
+/* The caller already has the events up to the one with this id. */
+void wp_stream_set_last_id(WPStream *s, uint64_t id);
 
-/* Another endpoint goes on: what it begins is not joined to what is partial. */
-void wp_stream_restart(WPStream *s);
+/* Another endpoint resumes the stream: drops the partial event, to which its
+   data does not belong. */
+void wp_stream_discard_partial(WPStream *s);
 
-/* Appends the whole events in `data` to `out`. Returns false when one is
-   missing in the order: the stream is broken there. */
+/* Takes the next `n` bytes and appends the events that are complete to `out`.
+   Returns false when an event is missing in the order of ids: the stream has to
+   be treated as broken there. */
 bool wp_stream_feed(WPStream *s, const char *data, size_t n, GByteArray *out);
 
-/* Whether nothing partial is left. */
-bool wp_stream_is_even(const WPStream *s);
+/* Whether no partial event is left. */
+bool wp_stream_at_event_boundary(const WPStream *s);
 
 #endif
--- a/src/wp_suspects.h
+++ b/src/wp_suspects.h
@@ -43,7 +43,7 @@
 
 /* The record of one suspect request. */
 typedef struct WPSuspect {
-    uint64_t request; /* hash, by wp_flow_hash() */
+    uint64_t request; /* hash, by wp_flow_request_hash() */
     WPSuspectCrash crashes[WP_SUSPECT_MAX_CRASHES];
     unsigned n_crashes;
     unsigned probes; /* times that it was sent in quarantine */
--- a/tests/test_held.c
+++ b/tests/test_held.c
@@ -3,7 +3,7 @@
 #include "free_port.h"
 #include "test.h"
 #include "wp_front.h"
-#include "wp_held.h"
+#include "wp_buffered.h"
 
 #include <arpa/inet.h>
 #include <errno.h>
@@ -24,7 +24,7 @@
 typedef struct World {
     struct event_base *base;
     WPFront *front;
-    WPHeld held;
+    WPBuffered held;
     WPTime now;
     char *answer;
     unsigned requests, left, refused, cut;
@@ -68,7 +68,7 @@
     w->base = event_base_new();
     w->port = free_port();
     w->answer = g_malloc0(ANSWER);
-    wp_held_limit(&w->held, memory_mb);
+    wp_buffered_set_limit(&w->held, memory_mb);
     g_autofree char *addr = g_strdup_printf("127.0.0.1:%u", w->port);
     w->front = wp_front_new(w->base, addr, &ops, w, &error);
     assert_non_null(w->front);
@@ -102,10 +102,11 @@
     for (unsigned i = 0; i < TURNS; i++)
         event_base_loop(w->base, EVLOOP_NONBLOCK);
     w->now.mono_us += TICK_MS * WP_US_PER_MS;
-    if (wp_held_note(&w->held, wp_front_held(w->front, w->now)))
-        wp_front_hold(w->front, w->held.over);
-    if (w->held.over)
-        w->cut += wp_front_cut_unread(w->front, w->now, WP_HELD_UNREAD_MS);
+    if (wp_buffered_update(&w->held, wp_front_held(w->front, w->now)))
+        wp_front_hold(w->front, w->held.over_limit);
+    if (w->held.over_limit)
+        w->cut +=
+            wp_front_cut_unread(w->front, w->now, WP_BUFFERED_READ_TIMEOUT_MS);
 }
 
 static void ask(int fd)
@@ -127,14 +128,14 @@
 static void the_bound_has_a_beginning_and_an_end(void **state)
 {
     (void)state;
-    WPHeld h = { 0 };
-    wp_held_limit(&h, 100);
-    assert_false(wp_held_note(&h, h.most - 1));
-    assert_true(wp_held_note(&h, h.most) && h.over);
-    assert_false(wp_held_note(&h, h.most - 1));
-    assert_true(wp_held_note(&h, h.most / 2) && !h.over);
-    wp_held_limit(&h, 0);
-    assert_true(h.most > 0);
+    WPBuffered h = { 0 };
+    wp_buffered_set_limit(&h, 100);
+    assert_false(wp_buffered_update(&h, h.limit_bytes - 1));
+    assert_true(wp_buffered_update(&h, h.limit_bytes) && h.over_limit);
+    assert_false(wp_buffered_update(&h, h.limit_bytes - 1));
+    assert_true(wp_buffered_update(&h, h.limit_bytes / 2) && !h.over_limit);
+    wp_buffered_set_limit(&h, 0);
+    assert_true(h.limit_bytes > 0);
 }
 
 /* Callers that read nothing are cut off once too much is held; one that reads
@@ -153,7 +154,7 @@
         ask(slow[i]);
     tick(&w);
     assert_int_equal(w.requests, SLOW);
-    assert_true(w.held.over);
+    assert_true(w.held.over_limit);
     ask(good);
     size_t got = 0;
     int64_t end_us = g_get_monotonic_time() + GUARD_MS * WP_US_PER_MS;
@@ -162,11 +163,11 @@
         got += take(good);
     }
     assert_true(got > ANSWER);
-    for (unsigned ms = 0; ms <= WP_HELD_UNREAD_MS; ms += TICK_MS)
+    for (unsigned ms = 0; ms <= WP_BUFFERED_READ_TIMEOUT_MS; ms += TICK_MS)
         tick(&w);
     assert_true(w.cut >= SLOW / 2);
-    assert_false(w.held.over);
-    assert_true(w.held.sum < w.held.most);
+    assert_false(w.held.over_limit);
+    assert_true(w.held.bytes < w.held.limit_bytes);
     for (unsigned i = 0; i < SLOW; i++)
         close(slow[i]);
     close(good);
@@ -202,11 +203,11 @@
         for (unsigned i = 0; i < SLOW; i++)
             send_some(fd[i], &left[i]);
         event_base_loop(w.base, EVLOOP_NONBLOCK);
-        if (wp_held_note(&w.held, wp_front_held(w.front, w.now)))
-            wp_front_hold(w.front, w.held.over);
+        if (wp_buffered_update(&w.held, wp_front_held(w.front, w.now)))
+            wp_front_hold(w.front, w.held.over_limit);
     }
-    assert_true(w.held.over);
-    assert_true(w.held.sum < w.held.most + SLOW * PIECE);
+    assert_true(w.held.over_limit);
+    assert_true(w.held.bytes < w.held.limit_bytes + SLOW * PIECE);
     assert_int_equal(w.requests, 0);
     wp_front_hold(w.front, false);
     int64_t end_us = g_get_monotonic_time() + GUARD_MS * WP_US_PER_MS;
--- a/tests/test_limit.c
+++ b/tests/test_limit.c
@@ -20,13 +20,14 @@
                                        "two", "1.2.3", ".",   "1,5", "2 2" };
     (void)state;
     for (size_t i = 0; i < WP_COUNT(bad); i++)
-        if (wp_limit_read(wp_str(bad[i]), 1).said != WP_LIMIT_BAD)
+        if (wp_limit_parse(wp_str(bad[i]), 1).status != WP_LIMIT_FIELD_INVALID)
             fail_msg("'%s' was taken", bad[i]);
-    const WPLimitField f = wp_limit_read(wp_str(" 2.25 "), 1);
-    assert_int_equal(f.said, WP_LIMIT_NAMED);
+    const WPLimitField f = wp_limit_parse(wp_str(" 2.25 "), 1);
+    assert_int_equal(f.status, WP_LIMIT_FIELD_PRESENT);
     assert_true(f.per_s == 2.25);
-    assert_int_equal(wp_limit_read(wp_str("2.2"), 2).said, WP_LIMIT_BAD);
-    assert_int_equal(wp_limit_read(wp_str(""), 0).said, WP_LIMIT_NONE);
+    assert_int_equal(wp_limit_parse(wp_str("2.2"), 2).status,
+                     WP_LIMIT_FIELD_INVALID);
+    assert_int_equal(wp_limit_parse(wp_str(""), 0).status, WP_LIMIT_FIELD_NONE);
 }
 
 /* Whole requests in a window that is no shorter than the platform's, but for
@@ -44,9 +45,9 @@
         WPLimit l = { 0 };
         wp_limit_set(&l, now, rows[i].per_s);
         const WPLimitWindow w = wp_limit_window(&l, now);
-        double rate = (double)w.part * WP_US_PER_S / (double)w.us;
-        assert_int_equal(w.part, rows[i].part);
-        assert_true(w.us <= 10 * WP_US_PER_S);
+        double rate = (double)w.requests * WP_US_PER_S / (double)w.length_us;
+        assert_int_equal(w.requests, rows[i].part);
+        assert_true(w.length_us <= 10 * WP_US_PER_S);
         assert_true(fabs(rate - MAX(rows[i].per_s, 0.1)) < 0.01 * rate);
     }
 }
@@ -73,7 +74,9 @@
 static void tell_sent(Fake *k, const char *id, double per_s, int64_t sent_us)
 {
     const WPLimitReport seen = {
-        { per_s > 0 ? WP_LIMIT_NAMED : WP_LIMIT_NONE, per_s }, true, sent_us
+        { per_s > 0 ? WP_LIMIT_FIELD_PRESENT : WP_LIMIT_FIELD_NONE, per_s },
+        true,
+        sent_us
     };
     wp_fleet_record_limit(k->d.fleet, wp_fleet_find(k->d.fleet, id), k->now,
                           &seen);
@@ -226,8 +229,12 @@
 
 static void what_is_no_limit_ends_the_one_before(void **state)
 {
-    const WPLimitReport bad = { { WP_LIMIT_BAD, 0 }, true, INT64_MAX };
-    const WPLimitReport forged = { { WP_LIMIT_NONE, 0 }, false, INT64_MAX };
+    const WPLimitReport bad = { { WP_LIMIT_FIELD_INVALID, 0 },
+                                true,
+                                INT64_MAX };
+    const WPLimitReport forged = { { WP_LIMIT_FIELD_NONE, 0 },
+                                   false,
+                                   INT64_MAX };
     Fake k;
     (void)state;
     fake_init(&k);
@@ -368,7 +375,7 @@
         wp_flow_free(f);
         fake_pass(&k, ASK_EVERY_MS);
     }
-    assert_in_range(s->reported.limit->sent, 5, 10);
+    assert_in_range(s->reported.limit->own_send_count, 5, 10);
     fake_end(&k);
 }
 
--- a/tests/test_notice.c
+++ b/tests/test_notice.c
@@ -396,7 +396,9 @@
 /* One word beside another: the longer one holds. */
 static void words_hold_beside_each_other(void **state)
 {
-    const WPLimitReport limit = { { WP_LIMIT_NAMED, 0.1 }, true, INT64_MAX };
+    const WPLimitReport limit = { { WP_LIMIT_FIELD_PRESENT, 0.1 },
+                                  true,
+                                  INT64_MAX };
     WPEndpointQuery w = { .service = "app", .zone = "z1" };
     Fake k;
     (void)state;
--- a/tests/test_pause.c
+++ b/tests/test_pause.c
@@ -6,47 +6,50 @@
 
 static void long_reading_brings_pauses(void **state)
 {
-    WPPauses p;
+    WPStallModel p;
     double before = 0;
     (void)state;
-    wp_pauses_init(&p);
-    assert_float_equal(wp_pauses_chance(&p, 0.5 * AIM_US, AIM_US), 0, 0.001);
+    wp_stall_init(&p);
+    assert_float_equal(wp_stall_probability(&p, 0.5 * AIM_US, AIM_US), 0,
+                       0.001);
     for (double part = 0.6; part < 4; part += 0.05) {
-        double chance = wp_pauses_chance(&p, part * AIM_US, AIM_US);
+        double chance = wp_stall_probability(&p, part * AIM_US, AIM_US);
         assert_true(chance >= before && chance <= 1);
         before = chance;
     }
     assert_true(before > 0.9);
     /* Without an aim none is too long. */
-    assert_float_equal(wp_pauses_chance(&p, 9e6, 0), 0, 0.001);
+    assert_float_equal(wp_stall_probability(&p, 9e6, 0), 0, 0.001);
 }
 
 /* An engine whose events hold few tokens never pauses so long. */
 static void an_engine_that_does_not_pause_is_found_out(void **state)
 {
-    WPPauses p;
+    WPStallModel p;
     (void)state;
-    wp_pauses_init(&p);
+    wp_stall_init(&p);
     for (int i = 0; i < 80; i++)
-        wp_pauses_add(&p, (0.6 + i % 4) * AIM_US, AIM_US, 0.5 * AIM_US);
+        wp_stall_add(&p, (0.6 + i % 4) * AIM_US, AIM_US, 0.5 * AIM_US);
     for (int i = 0; i < 20; i++)
-        wp_pauses_add(&p, 1.3 * AIM_US, AIM_US, 0.5 * AIM_US);
-    assert_true(wp_pauses_chance(&p, 1.3 * AIM_US, AIM_US) < 0.1);
-    wp_pauses_add(&p, 0, AIM_US, 2 * AIM_US); /* for another reason */
-    assert_true(wp_pauses_chance(&p, 1.3 * AIM_US, AIM_US) < 0.1);
+        wp_stall_add(&p, 1.3 * AIM_US, AIM_US, 0.5 * AIM_US);
+    assert_true(wp_stall_probability(&p, 1.3 * AIM_US, AIM_US) < 0.1);
+    wp_stall_add(&p, 0, AIM_US, 2 * AIM_US); /* for another reason */
+    assert_true(wp_stall_probability(&p, 1.3 * AIM_US, AIM_US) < 0.1);
 }
 
 static void peaks_are_found_by_time(void **state)
 {
-    WPPeaks p = { 0 };
+    WPPrefillPeaks p = { 0 };
     (void)state;
     for (int i = 0; i < 20; i++) {
         WPTime now = { i * WP_US_PER_S, 0 };
-        wp_peaks_note(&p, now, i == 15 ? 2e6 : 3e5);
+        wp_prefill_peaks_add(&p, now, i == 15 ? 2e6 : 3e5);
     }
-    assert_float_equal(wp_peaks_since(&p, 14 * WP_US_PER_S), 2e6, 1);
-    assert_float_equal(wp_peaks_since(&p, 16 * WP_US_PER_S), 3e5, 1);
-    assert_float_equal(wp_peaks_since(&p, 30 * WP_US_PER_S), 0, 1);
+    assert_float_equal(wp_prefill_peaks_max_since(&p, 14 * WP_US_PER_S), 2e6,
+                       1);
+    assert_float_equal(wp_prefill_peaks_max_since(&p, 16 * WP_US_PER_S), 3e5,
+                       1);
+    assert_float_equal(wp_prefill_peaks_max_since(&p, 30 * WP_US_PER_S), 0, 1);
 }
 
 static void learn(WPTtfbModel *s)
@@ -63,12 +66,12 @@
 static void a_long_prompt_goes_where_few_streams_run(void **state)
 {
     WPTtfbModel s = { 0 };
-    WPPauses pauses;
+    WPStallModel pauses;
     Fake k;
     (void)state;
     fake_init(&k);
     learn(&s);
-    wp_pauses_init(&pauses);
+    wp_stall_init(&pauses);
     wp_fleet_set_load(wp_fleet_find(k.d.fleet, "l1"), k.now, 4, 0, 8);
     wp_fleet_set_load(wp_fleet_find(k.d.fleet, "l2"), k.now, 1, 0, 8);
     WPReplica *busy = wp_fleet_find(k.d.fleet, "l1");
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -15,7 +15,7 @@
     Item *i = g_new0(Item, 1);
     g_strlcpy(i->t.workspace, ws, sizeof(i->t.workspace));
     i->t.weight = weight;
-    i->t.rank = rank;
+    i->t.class_rank = rank;
     i->t.deadline_us = deadline_us;
     return i;
 }
@@ -46,9 +46,9 @@
         while (done && now - done->t.started_us >= SERVICE_US) {
             g_queue_pop_head(&running);
             served[done->n]++;
-            wp_queue_leave(q, now, &done->t, true);
+            wp_queue_remove(q, now, &done->t, true);
             g_free(done);
-            WPTicket *next = wp_queue_next(q, now);
+            WPTicket *next = wp_queue_start_next(q, now);
             if (next)
                 g_queue_push_tail(&running, wp_list_item(next, Item, t));
             done = g_queue_peek_head(&running);
@@ -76,9 +76,9 @@
     Item *left;
     int64_t end = 60000000 + SERVICE_US;
     while ((left = g_queue_pop_head(&running))) {
-        wp_queue_leave(q, end, &left->t, true);
+        wp_queue_remove(q, end, &left->t, true);
         g_free(left);
-        WPTicket *next = wp_queue_next(q, end);
+        WPTicket *next = wp_queue_start_next(q, end);
         if (next)
             g_queue_push_tail(&running, wp_list_item(next, Item, t));
     }
@@ -107,12 +107,12 @@
     assert_int_equal(offer(q, 0, item("w", 1, 2, INT64_MAX), &code),
                      WP_ADMIT_REFUSE);
     assert_int_equal(code, WP_OVERLOADED);
-    wp_queue_leave(q, 10, &a->t, true);
-    assert_ptr_equal(wp_queue_next(q, 10), &ping->t);
-    assert_null(wp_queue_next(q, 10));
-    wp_queue_leave(q, 20, &ping->t, true);
-    assert_ptr_equal(wp_queue_next(q, 20), &plan->t);
-    wp_queue_leave(q, 30, &plan->t, true);
+    wp_queue_remove(q, 10, &a->t, true);
+    assert_ptr_equal(wp_queue_start_next(q, 10), &ping->t);
+    assert_null(wp_queue_start_next(q, 10));
+    wp_queue_remove(q, 20, &ping->t, true);
+    assert_ptr_equal(wp_queue_start_next(q, 20), &plan->t);
+    wp_queue_remove(q, 30, &plan->t, true);
     g_free(a);
     g_free(ping);
     g_free(plan);
@@ -132,11 +132,11 @@
     assert_true(wp_queue_retry_ms(q, 1) >= 50);
     Item *b = item("w", 1, 1, 3 * SERVICE_US);
     assert_int_equal(offer(q, 0, b, &code), WP_ADMIT_WAIT);
-    assert_null(wp_queue_hopeless(q, SERVICE_US));
-    assert_ptr_equal(wp_queue_hopeless(q, 3 * SERVICE_US), &b->t);
+    assert_null(wp_queue_pop_late(q, SERVICE_US));
+    assert_ptr_equal(wp_queue_pop_late(q, 3 * SERVICE_US), &b->t);
     assert_int_equal(wp_queue_waiting(q), 0);
     g_free(b);
-    wp_queue_leave(q, 5, &a->t, true);
+    wp_queue_remove(q, 5, &a->t, true);
     g_free(a);
     wp_queue_free(q);
 }
--- a/tests/test_stream.c
+++ b/tests/test_stream.c
@@ -19,11 +19,11 @@
     wp_stream_init(&s);
     g_autofree char *a = feed(&s, "id: 1\ndata: x\n\nid: 2\nda", NULL);
     assert_string_equal(a, "id: 1\ndata: x\n\n");
-    assert_false(wp_stream_is_even(&s));
+    assert_false(wp_stream_at_event_boundary(&s));
     g_autofree char *b = feed(&s, "ta: y\n\n", NULL);
     assert_string_equal(b, "id: 2\ndata: y\n\n");
-    assert_true(wp_stream_is_even(&s));
-    assert_int_equal(s.last, 2);
+    assert_true(wp_stream_at_event_boundary(&s));
+    assert_int_equal(s.last_id, 2);
     wp_stream_end(&s);
 }
 
@@ -41,8 +41,9 @@
         wp_stream_init(&s);
         g_autofree char *head = g_strndup(all, cut);
         g_autofree char *a = feed(&s, head, NULL);
-        wp_stream_restart(&s);
-        g_autofree char *b = feed(&s, rest[s.has_last ? s.last : 0], NULL);
+        wp_stream_discard_partial(&s);
+        g_autofree char *b =
+            feed(&s, rest[s.has_last_id ? s.last_id : 0], NULL);
         g_autofree char *both = g_strconcat(a, b, NULL);
         assert_string_equal(both, all);
         wp_stream_end(&s);
@@ -55,7 +56,7 @@
     bool ok;
     (void)state;
     wp_stream_init(&s);
-    wp_stream_after(&s, 4);
+    wp_stream_set_last_id(&s, 4);
     g_autofree char *a = feed(&s, "id: 4\ndata: a\n\nid: 5\ndata: b\n\n", &ok);
     assert_true(ok);
     assert_string_equal(a, "id: 5\ndata: b\n\n");
