--- a/src/wp_code.h
+++ b/src/wp_code.h
@@ -23,44 +23,44 @@
       "the version may not serve this request")                                \
     X(NO_ENDPOINT, "no_endpoint", 503, NOT_RUN, "no endpoint is available")    \
     X(NO_AREA, "no_endpoint_in_area", 503, NOT_RUN,                            \
-      "no endpoint is registered in the areas where this may be served")       \
+      "no endpoint is listed in the areas where this may be served")           \
     X(SESSION_BOUND, "session_bound", 503, NOT_RUN,                            \
-      "the session is bound to a replaced version until it expires")           \
+      "the session's version has been replaced; it is free again then")        \
     X(IN_DOUBT, "request_in_doubt", 503, NOT_RUN,                              \
-      "an endpoint crashed during this request; another copy is running")      \
+      "an endpoint ended under this request; another copy of it runs")         \
     X(KEPT_OUT, "request_kept_out", 503, NOT_RUN,                              \
-      "quarantined: endpoints crashed each time this request ran")             \
+      "endpoints ended under this request each time that it ran")              \
     X(STARTING, "endpoints_starting", 503, NOT_RUN,                            \
-      "the endpoints have just started and accept few requests")               \
+      "the endpoints have just started and take few requests")                 \
     X(LIMITED, "endpoints_limited", 503, NOT_RUN,                              \
-      "the rate limits of the endpoints are reached")                          \
+      "the endpoints take few requests at present")                            \
     X(RESTING, "endpoints_resting", 503, NOT_RUN,                              \
-      "the endpoints have asked for back-off")                                 \
+      "the endpoints have asked for rest")                                     \
     X(OVERLOADED, "overloaded", 429, NOT_RUN, "no capacity at this time")      \
     X(LATE, "deadline_unreachable", 429, NOT_RUN,                              \
       "the deadline cannot be met")                                            \
-    X(LEAVING, "leaving", 503, NOT_RUN, "this box is draining")                \
+    X(LEAVING, "leaving", 503, NOT_RUN, "this box is leaving")                 \
     X(NOT_READY, "not_ready", 503, NOT_RUN, "no configuration yet")            \
     X(STALE, "stale_configuration", 503, NOT_RUN,                              \
       "the configuration is too old for this kind of request")                 \
     X(BILLS_FULL, "bill_backlog", 503, NOT_RUN,                                \
-      "too many bills are waiting to be written to the store")                 \
+      "too many bills wait for the store")                                     \
     X(ONCE_RUNNING, "already_running", 409, RAN,                               \
       "a request with this idempotency key is running")                        \
     X(ONCE_DONE, "already_ran", 409, RAN,                                      \
       "a request with this idempotency key has run")                           \
     X(ONCE_UNKNOWN, "key_unknown", 409, UNKNOWN,                               \
-      "it is unknown whether a request with this key has run")                 \
+      "whether this idempotency key has run cannot be known")                  \
     X(NOT_KEEPER, "not_keeper", 503, NOT_RUN,                                  \
-      "another agent owns this idempotency key")                               \
+      "another agent keeps this idempotency key")                              \
     X(ENDPOINT_DOWN, "endpoint_unreachable", 503, NOT_RUN,                     \
       "the endpoint cannot be reached")                                        \
     X(ENDPOINT_FAILED, "endpoint_failed", 502, UNKNOWN,                        \
       "the endpoint failed during the request")                                \
     X(LINK_LOST, "outcome_unknown", 502, UNKNOWN,                              \
-      "the connection was lost after the request was sent")                    \
+      "contact was lost after the request was handed over")                    \
     X(TIMED_OUT, "deadline_exceeded", 504, UNKNOWN, "the deadline has passed") \
-    X(CANCELLED, "cancelled", 499, UNKNOWN, "the caller disconnected")         \
+    X(CANCELLED, "cancelled", 499, UNKNOWN, "the caller has gone")             \
     X(HEAD_TOO_LARGE, "head_too_large", 431, NOT_RUN,                          \
       "the head of the request is too large")                                  \
     X(HEAD_SLOW, "head_too_slow", 408, NOT_RUN,                                \
--- a/src/wp_counters.h
+++ b/src/wp_counters.h
@@ -8,52 +8,51 @@
 /* X(name, metric name, help) */
 #define WP_COUNTER_LIST(X)                                                     \
     X(REQUESTS, "requests_total", "requests received")                         \
-    X(ANSWERED, "answered_total", "requests answered completely")              \
+    X(ANSWERED, "answered_total", "requests answered whole")                   \
     X(REFUSED, "refused_total", "requests refused")                            \
-    X(FAILED, "failed_total", "requests that failed and may have run")         \
+    X(FAILED, "failed_total", "requests that failed after a start")            \
     X(RETRIES, "retries_total", "second and later attempts")                   \
     X(ESCALATIONS, "escalations_total", "cascade steps to a stronger version") \
-    X(CALLERS_GONE, "callers_gone_total", "callers that disconnected early")   \
+    X(CALLERS_GONE, "callers_gone_total", "callers that left early")           \
     X(BAD_INPUT, "bad_input_total", "malformed requests")                      \
     X(BAD_FRAMES, "bad_frames_total", "malformed frames, links closed")        \
     X(STARTS, "starts_total", "requests started at the endpoint")              \
-    X(BILLS, "bills_total", "bills created")                                   \
-    X(BILLS_SETTLED, "bills_settled_total",                                    \
-      "bills confirmed written to the store")                                  \
+    X(BILLS, "bills_total", "bills made")                                      \
+    X(BILLS_SETTLED, "bills_settled_total", "bills in the store")              \
     X(BILLS_TAKEN, "bills_taken_over_total", "bills of dead agents written")   \
-    X(STORE_READS, "store_reads_total", "reads requested from the store")      \
-    X(STORE_WRITES, "store_writes_total", "writes requested from the store")   \
+    X(STORE_READS, "store_reads_total", "reads asked of the store")            \
+    X(STORE_WRITES, "store_writes_total", "writes asked of the store")         \
     X(STORE_ERRORS, "store_errors_total", "store calls that failed")           \
-    X(CONFIG_CHANGES, "config_changes_total", "configuration changes applied") \
+    X(CONFIG_CHANGES, "config_changes_total", "changes taken")                 \
     X(BAD_ENTRIES, "bad_entries_total",                                        \
-      "store entries that are malformed or invalid")                           \
+      "entries of the store that cannot be read or be true")                   \
     X(GOSSIP_SENT, "gossip_sent_total", "messages to other boxes")             \
     X(GOSSIP_BYTES, "gossip_bytes_total", "bytes to other boxes")              \
-    X(EJECTIONS, "ejections_total", "endpoints ejected")                       \
-    X(EXPLORED, "explored_total", "requests sent to explore quality")          \
+    X(EJECTIONS, "ejections_total", "endpoints set aside")                     \
+    X(EXPLORED, "explored_total", "requests sent to learn quality")            \
     X(SESSIONS_MOVED, "sessions_moved_total",                                  \
-      "session turns moved as their version may no longer serve them")         \
-    X(ROLLOUT_STEPS, "rollout_steps_total", "rollout changes written")         \
+      "turns of sessions whose version may not serve them any more")           \
+    X(ROLLOUT_STEPS, "rollout_steps_total", "roll-out changes written")        \
     X(STOPS, "automatic_stops_total", "versions withdrawn automatically")      \
     X(MOVE_RECORDS, "move_records_total",                                      \
-      "records of the observations of a shift, written")                       \
+      "records of what was seen of a move, written")                           \
     X(MOVE_WAITS, "move_waits_total",                                          \
-      "times that the next stage of a shift waited for answers")               \
+      "times that a move's next stage waited for answers")                     \
     X(ENDED_UNDER, "endpoints_ended_under_total",                              \
-      "endpoint connections that ended during a request")                      \
+      "connections that ended under a request")                                \
     X(SUSPECTS_CLEARED, "suspects_cleared_total",                              \
-      "suspect requests that completed")                                       \
+      "requests in doubt that ended whole")                                    \
     X(HELD, "requests_held_total",                                             \
-      "requests held until a starting box had its routes")                     \
+      "requests that waited for the routes of a box that starts")              \
     X(CUT_UNREAD, "callers_cut_unread_total",                                  \
-      "callers disconnected for not reading while too much was buffered")      \
-    X(REPORTS, "usage_reports_total", "usage reports accepted")                \
+      "callers cut off as they read nothing while too much was held")          \
+    X(REPORTS, "usage_reports_total", "reports of usage that were taken")      \
     X(REPORTS_FAILED, "usage_reports_failed_total",                            \
-      "calls with a usage report that was not accepted")                       \
+      "calls with a report that was not taken")                                \
     X(REPORTS_MISSED, "usage_windows_missed_total",                            \
-      "usage windows that were not reported in time")                          \
+      "windows of usage that nobody was told of in time")                      \
     X(FAILS_LOADED, "fails_loaded_total",                                      \
-      "versions found to fail on endpoints that are half full")
+      "versions found to fail on half-full endpoints")
 
 typedef enum WPCounter {
 #define X(name, metric, help) WP_C_##name,
