--- a/io/wp_legs.c
+++ b/io/wp_attempts.c
@@ -1,23 +1,28 @@
-/* The legs of an exchange: a Start to an agent, and what comes back. */
+/* Attempts of an exchange: sends Start frames to agents and processes the
+ * frames that they send back. */
 #include "wp_server_int.h"
 
 #include <event2/buffer.h>
 #include <stdlib.h>
 
-/* An answer that is not streamed is held back up to this size, so that a leg
-   which breaks can be replaced without the caller seeing any of it. */
-#define HOLD_MOST (256 << 10)
-/* Of the window, what must be free before the agent is told. */
-#define GRANT_PART 4
-#define PROBES 2
-/* Of an answer that is to be rated, what is kept for that. */
-#define RATED_MOST (64 << 10)
+/* An answer that is not streamed is buffered up to this size, so that another
+   attempt can replace one that breaks off, unseen by the caller. */
+#define HOLD_MAX (256 << 10)
+/* Credit is granted to the agent once this fraction (1/N) of the flow control
+   window is free. */
+#define GRANT_DIVISOR 4
+/* Endpoints that are asked for their load with each attempt. */
+#define PROBES_PER_REQUEST 2
+/* Bytes of an answer that are copied for the rating service. */
+#define RATED_COPY_MAX (64 << 10)
 
-static WPTime now_of(const WPExchange *x)
+static WPTime current_time(const WPExchange *x)
 {
     return wp_host_now(x->server->host);
 }
 
+/* Ends the current attempt's use of its link: later frames of its stream are
+   ignored. */
 static void detach(WPExchange *x)
 {
     if (!x->link)
@@ -46,7 +51,7 @@
     g_free(x);
 }
 
-static void send_simple(WPExchange *x, Wp__Frame *f)
+static void send_on_stream(WPExchange *x, Wp__Frame *f)
 {
     f->has_stream = 1;
     f->stream = x->stream_id;
@@ -61,7 +66,7 @@
         return;
     f.body_case = WP__FRAME__BODY_CANCEL;
     f.cancel = &c;
-    send_simple(x, &f);
+    send_on_stream(x, &f);
     detach(x);
 }
 
@@ -71,18 +76,19 @@
     Wp__Window w = WP__WINDOW__INIT;
     size_t window = (size_t)x->server->settings->window_kb << 10;
     x->credit += bytes;
-    if (!x->link || x->credit < window / GRANT_PART)
+    if (!x->link || x->credit < window / GRANT_DIVISOR)
         return;
     w.bytes = (uint32_t)x->credit;
     x->credit = 0;
     f.body_case = WP__FRAME__BODY_WINDOW;
     f.window = &w;
-    send_simple(x, &f);
+    send_on_stream(x, &f);
 }
 
-/* The body for the endpoint: the chosen version in place of what the caller
-   named, and the count of tokens asked for. */
-static char *chat_body(WPExchange *x, size_t *size)
+/* Returns the body for the endpoint, to be freed with free(), and sets its
+   size: the caller's body with the chosen version as the model, and for a
+   stream with the request to report token usage. */
+static char *make_chat_body(WPExchange *x, size_t *size)
 {
     json_object_set_new(x->body, "model", json_string(x->request->version));
     if (x->stream) {
@@ -124,7 +130,7 @@
 static void fill_start(WPExchange *x, Wp__Start *s)
 {
     const WPRequest *q = x->request;
-    int64_t left_us = q->deadline_us - now_of(x).mono_us;
+    int64_t left_us = q->deadline_us - current_time(x).mono_us;
     s->request_id = (char *)q->id;
     s->workspace = q->workspace;
     s->kind = q->kind;
@@ -164,12 +170,12 @@
     wp_link_send(l, &f);
 }
 
-/* Asks a few endpoints for their load, for the decisions to come. */
-static void probe(WPExchange *x)
+/* Asks a few endpoints for their load, for later choices. */
+static void send_probes(WPExchange *x)
 {
-    WPEndpoint *list[PROBES];
-    unsigned n =
-        wp_entry_probes(x->server->entry, now_of(x), x->request, list, PROBES);
+    WPEndpoint *list[PROBES_PER_REQUEST];
+    unsigned n = wp_entry_probes(x->server->entry, current_time(x), x->request,
+                                 list, PROBES_PER_REQUEST);
     for (unsigned i = 0; i < n; i++)
         send_probe(x->server, list[i]);
 }
@@ -187,8 +193,8 @@
     x->copy = x->request->ask_rating ? g_string_new(NULL) : NULL;
     x->link = wp_hub_link(wp_host_hub(s->host), p->addr);
     if (!x->link) {
-        wp_exchange_do(x,
-                       wp_entry_lost(s->entry, now_of(x), x->request, false));
+        wp_exchange_do(
+            x, wp_entry_lost(s->entry, current_time(x), x->request, false));
         return;
     }
     x->link->streams++;
@@ -196,36 +202,36 @@
     x->start_at = x->link->queued;
     g_hash_table_insert(s->streams, &x->stream_id, x);
     fill_start(x, &start);
-    char *text = x->body ? chat_body(x, &size) : NULL;
+    char *text = x->body ? make_chat_body(x, &size) : NULL;
     start.has_body = 1;
     start.body.data = text ? (uint8_t *)text : x->raw->data;
     start.body.len = text ? size : x->raw->len;
     start.labels = copy_labels(x->request->labels, &start.n_labels);
     f.body_case = WP__FRAME__BODY_START;
     f.start = &start;
-    send_simple(x, &f);
+    send_on_stream(x, &f);
     free_labels(start.labels, start.n_labels);
     free(text);
-    probe(x);
+    send_probes(x);
 }
 
-static void on_checked(void *arg, int status, WPStr body);
+static void on_check_result(void *arg, int status, WPStr body);
 
-typedef struct Check {
+typedef struct QualityCheck {
     WPServer *server;
-    char id[40]; /* the exchange may end while the check is under way */
-} Check;
+    char id[40]; /* request id; the exchange may end before the result comes */
+} QualityCheck;
 
-static void ask_check(WPExchange *x)
+static void request_check(WPExchange *x)
 {
     WPHttp *ratings = wp_host_ratings(x->server->host);
     size_t n = evbuffer_get_length(x->held);
     if (!ratings) {
-        wp_exchange_do(
-            x, wp_entry_checked(x->server->entry, now_of(x), x->request, true));
+        wp_exchange_do(x, wp_entry_checked(x->server->entry, current_time(x),
+                                           x->request, true));
         return;
     }
-    Check *c = g_new0(Check, 1);
+    QualityCheck *c = g_new0(QualityCheck, 1);
     c->server = x->server;
     g_strlcpy(c->id, x->request->id, sizeof(c->id));
     json_t *o = json_pack("{s:s,s:s,s:s}", "request_id", x->request->id, "kind",
@@ -234,7 +240,7 @@
         json_stringn_nocheck((const char *)evbuffer_pullup(x->held, -1), n);
     json_object_set_new(o, "answer", answer ? answer : json_null());
     char *text = json_dumps(o, JSON_COMPACT);
-    wp_http_call(ratings, "/v1/check", text, on_checked, g_free, c);
+    wp_http_call(ratings, "/v1/check", text, on_check_result, g_free, c);
     free(text);
     json_decref(o);
 }
@@ -249,29 +255,29 @@
     return NULL;
 }
 
-static void on_checked(void *arg, int status, WPStr body)
+static void on_check_result(void *arg, int status, WPStr body)
 {
-    Check *c = arg;
+    QualityCheck *c = arg;
     WPExchange *x = find_exchange(c->server, c->id);
     json_t *j = status == 200 ? json_loadb(body.p, body.n, 0, NULL) : NULL;
-    /* Without a verdict the answer stands: the check only saves cost. */
-    bool good = !json_is_false(json_object_get(j, "good"));
+    /* Without a result the answer is accepted: the check only saves cost. */
+    bool is_good = !json_is_false(json_object_get(j, "good"));
     if (x)
-        wp_exchange_do(
-            x, wp_entry_checked(c->server->entry, now_of(x), x->request, good));
+        wp_exchange_do(x, wp_entry_checked(c->server->entry, current_time(x),
+                                           x->request, is_good));
     json_decref(j);
     g_free(c);
 }
 
-static void ignore(void *arg, int status, WPStr body)
+static void ignore_result(void *arg, int status, WPStr body)
 {
     (void)arg;
     (void)status;
     (void)body;
 }
 
-/* Hands an answer to the rating service; nobody waits for it. */
-static void submit(WPExchange *x)
+/* Sends an answer to the rating service, without waiting for the result. */
+static void submit_for_rating(WPExchange *x)
 {
     WPHttp *ratings = wp_host_ratings(x->server->host);
     if (!ratings || !x->copy)
@@ -281,7 +287,7 @@
     json_t *answer = json_stringn_nocheck(x->copy->str, x->copy->len);
     json_object_set_new(o, "answer", answer ? answer : json_null());
     char *text = json_dumps(o, JSON_COMPACT);
-    wp_http_call(ratings, "/v1/submit", text, ignore, NULL, NULL);
+    wp_http_call(ratings, "/v1/submit", text, ignore_result, NULL, NULL);
     free(text);
     json_decref(o);
 }
@@ -293,14 +299,14 @@
         send_start(x, step.endpoint);
         return;
     case WP_STEP_CHECK:
-        ask_check(x);
+        request_check(x);
         return;
     case WP_STEP_LATER:
-        x->again_us =
-            now_of(x).mono_us + (int64_t)step.retry_after_ms * WP_US_PER_MS;
+        x->again_us = current_time(x).mono_us +
+                      (int64_t)step.retry_after_ms * WP_US_PER_MS;
         return;
     case WP_STEP_DONE:
-        submit(x);
+        submit_for_rating(x);
         wp_reply_end(x);
         break;
     case WP_STEP_FINAL:
@@ -318,21 +324,22 @@
     wp_exchange_free(x);
 }
 
-static bool must_hold(const WPExchange *x)
+/* Whether the answer must still be buffered rather than forwarded. */
+static bool must_buffer(const WPExchange *x)
 {
     if (x->request->escalate)
         return true;
-    return !x->stream && evbuffer_get_length(x->held) <= HOLD_MOST;
+    return !x->stream && evbuffer_get_length(x->held) <= HOLD_MAX;
 }
 
 static void on_chunk(WPExchange *x, const Wp__Chunk *c)
 {
-    wp_entry_first_bytes(x->server->entry, now_of(x), x->request);
+    wp_entry_first_bytes(x->server->entry, current_time(x), x->request);
     evbuffer_add(x->held, c->data.data, c->data.len);
-    if (x->copy && x->copy->len + c->data.len <= RATED_MOST)
+    if (x->copy && x->copy->len + c->data.len <= RATED_COPY_MAX)
         g_string_append_len(x->copy, (const char *)c->data.data,
                             (gssize)c->data.len);
-    if (x->replying || !must_hold(x))
+    if (x->replying || !must_buffer(x))
         wp_reply_pass_on(x);
     else
         wp_exchange_grant(x, c->data.len);
@@ -345,7 +352,7 @@
     x->answer_type = g_strdup(h->content_type);
 }
 
-static void send_witness(void *arg, const char *addr, Wp__Witness *w)
+static void send_backup(void *arg, const char *addr, Wp__Witness *w)
 {
     WPServer *s = arg;
     Wp__Frame f = WP__FRAME__INIT;
@@ -359,7 +366,7 @@
 
 void wp_legs_tell_witness(WPServer *s)
 {
-    wp_entry_tell_witness(s->entry, wp_host_now(s->host), send_witness, s);
+    wp_entry_tell_witness(s->entry, wp_host_now(s->host), send_backup, s);
 }
 
 void wp_legs_frame(WPServer *s, WPLink *l, Wp__Frame *f)
@@ -377,7 +384,8 @@
                          f->settled->upto);
     WPExchange *x =
         f->has_stream ? g_hash_table_lookup(s->streams, &f->stream) : NULL;
-    /* Late words of a leg that was given up, or of another link, are void. */
+    /* Ignore late frames of an abandoned attempt, and frames from another
+       link. */
     if (!x || x->link != l)
         return;
     switch (f->body_case) {
@@ -393,7 +401,8 @@
     case WP__FRAME__BODY_END:
         detach(x);
         wp_exchange_do(x, wp_entry_ended(s->entry, now, x->request, f->end));
-        /* At once: this entry and the agent may die in the next moment. */
+        /* Sent at once, as this entry and the agent may crash before the next
+           tick. */
         wp_legs_tell_witness(s);
         break;
     case WP__FRAME__BODY_REFUSE:
--- a/io/wp_direct_admin.c
+++ b/io/wp_direct_admin.c
@@ -7,10 +7,10 @@
 {
     WPDirectHost *h = arg;
     bool ready = !h->leaving && wp_sync_ready(h->sync);
-    wp_http_text(r, ready ? 200 : 503, "text/plain",
-                 wp_str(ready        ? "ready\n"
-                        : h->leaving ? "leaving\n"
-                                     : "starting\n"));
+    wp_http_reply_text(r, ready ? 200 : 503, "text/plain",
+                       wp_str(ready        ? "ready\n"
+                              : h->leaving ? "leaving\n"
+                                           : "starting\n"));
 }
 
 typedef struct Page {
@@ -73,8 +73,8 @@
         "wp_held_bytes{%s} %lu\n"
         "wp_list_age_seconds{%s} %.3f\n"
         "wp_log_lines_dropped_total{%s} %lu\n",
-        labels, h->n_relays, labels, wp_front_connections(h->front), labels,
-        (unsigned long)wp_back_opened(h->back), labels,
+        labels, h->n_relays, labels, wp_downstream_connection_count(h->front),
+        labels, (unsigned long)wp_upstream_connections_opened(h->back), labels,
         wp_sync_store_up(h->sync), labels, wp_sync_reports_usage(h->sync),
         labels, (gulong)h->held.bytes, labels,
         (double)wp_sync_list_age_ms(h->sync, wp_clock_now(0)) / WP_MS_PER_S,
@@ -89,8 +89,8 @@
     wp_suspects_each(h->direct.suspects, add_kept_out, &z);
     wp_fleet_each(h->direct.fleet, add_limit, &z);
     wp_traffic_each(wp_sync_traffic(h->sync), add_traffic, &z);
-    wp_http_text(r, 200, "text/plain; version=0.0.4",
-                 wp_strn(out->str, out->len));
+    wp_http_reply_text(r, 200, "text/plain; version=0.0.4",
+                       wp_strn(out->str, out->len));
 }
 
 static struct evhttp *serve(WPDirectHost *h, const char *addr,
@@ -101,7 +101,8 @@
     g_autofree char *host = NULL;
     uint16_t port;
     evhttp_set_gencb(http, page, h);
-    if (wp_http_target(addr, &host, &port) && wp_http_listen(http, host, port))
+    if (wp_http_parse_target(addr, &host, &port) &&
+        wp_http_listen(http, host, port))
         return http;
     g_set_error(error, WP_ERROR, WP_ERROR_CONTACT, "cannot listen on %s", addr);
     evhttp_free(http);
--- a/io/wp_direct_host.c
+++ b/io/wp_direct_host.c
@@ -41,7 +41,7 @@
         return;
     h->end_us =
         h->leave_us + (most - LEAVE_SPARE_MS - LEAVE_WRITE_MS) * WP_US_PER_MS;
-    open = wp_front_close_idle(h->front, now, LEAVE_IDLE_MS);
+    open = wp_downstream_close_idle(h->front, now, LEAVE_IDLE_MS);
     if ((!open && !h->n_relays) || ms >= most - LEAVE_SPARE_MS)
         event_base_loopbreak(h->base);
 }
@@ -72,17 +72,18 @@
 /* What slow readers leave here is bounded by the machine's memory. */
 static void watch_held(WPDirectHost *h, WPTime now)
 {
-    uint64_t sum =
-        wp_front_held(h->front, now) + wp_back_held(h->back) + wp_relay_held(h);
+    uint64_t sum = wp_downstream_poll_buffered(h->front, now) +
+                   wp_upstream_unsent_bytes(h->back) + wp_relay_held(h);
     bool changed = wp_buffered_update(&h->held, sum);
     unsigned cut = 0;
     if (changed) {
-        wp_front_hold(h->front, h->held.over_limit);
+        wp_downstream_set_over_limit(h->front, h->held.over_limit);
         if (!h->held.over_limit)
             wp_relay_go_on(h);
     }
     if (h->held.over_limit)
-        cut = wp_front_cut_unread(h->front, now, WP_BUFFERED_READ_TIMEOUT_MS);
+        cut = wp_downstream_close_unread(h->front, now,
+                                         WP_BUFFERED_READ_TIMEOUT_MS);
     h->direct.counters.value[WP_C_CUT_UNREAD] += cut;
     if (!changed && !cut)
         return;
@@ -104,7 +105,7 @@
     if (late)
         wp_relay_set_timers(h, now);
     wp_direct_tick(&h->direct, now);
-    wp_back_tick(h->back, now);
+    wp_upstream_tick(h->back, now);
     wp_sync_tick(h->sync, now);
     watch_held(h, now);
     log_traffic(h, now);
@@ -124,7 +125,7 @@
     h->leave_us = wp_clock_now(0).mono_us;
     wp_shifts_set_draining(h->direct.shifts, true);
     wp_log(&h->log, WP_INFO, "leaving", NULL);
-    wp_front_leave(h->front);
+    wp_downstream_start_drain(h->front);
 }
 
 /* A duration of the settings, up to a whole millisecond. */
@@ -220,14 +221,17 @@
 
 static bool open_sides(WPDirectHost *h, GError **error)
 {
-    static const WPBackRules back_rules = { CONNECT_MS, IDLE_MS, IDLE_ONCE_MS };
+    static const WPUpstreamRules back_rules = { CONNECT_MS, IDLE_MS,
+                                                IDLE_ONCE_MS };
     const Wp__DirectSettings *s = h->settings;
     const WPRouteLimits limits = { 16 << 10, 4 << 20, 5000, 30000 };
-    h->back = wp_back_new(h->base, s->listen, &back_rules, &wp_relay_back_ops);
-    h->front = wp_front_new(h->base, s->http, &wp_relay_front_ops, h, error);
+    h->back =
+        wp_upstream_new(h->base, s->listen, &back_rules, &wp_relay_back_ops);
+    h->front =
+        wp_downstream_new(h->base, s->http, &wp_relay_front_ops, h, error);
     if (!h->front || !wp_direct_open_admin(h, error))
         return false;
-    wp_front_limits(h->front, &limits);
+    wp_downstream_set_limits(h->front, &limits);
     h->sync = wp_sync_new(h, error);
     return h->sync != NULL;
 }
@@ -286,8 +290,8 @@
     free_event(h->tick);
     free_event(h->term);
     free_event(h->hup);
-    wp_front_free(h->front);
-    wp_back_free(h->back);
+    wp_downstream_free(h->front);
+    wp_upstream_free(h->back);
     wp_sync_free(h->sync);
     wp_direct_close_admin(h);
     wp_direct_end(&h->direct);
--- a/io/wp_direct_int.h
+++ b/io/wp_direct_int.h
@@ -2,10 +2,10 @@
 #ifndef WP_IO_DIRECT_INT_H
 #define WP_IO_DIRECT_INT_H
 
-#include "wp_back.h"
+#include "wp_upstream.h"
 #include "wp_clock.h"
 #include "wp_direct_host.h"
-#include "wp_front.h"
+#include "wp_downstream.h"
 #include "wp_buffered.h"
 #include "wp_log.h"
 #include "wp_traffic.h"
@@ -22,8 +22,8 @@
     Wp__Chart *chart;
     WPLog log;
     WPDirect direct;
-    WPFront *front;
-    WPBack *back;
+    WPDownstream *front;
+    WPUpstream *back;
     WPSync *sync;
     struct evhttp *ready, *metrics;
     struct event *tick, *term, *hup;
@@ -38,8 +38,8 @@
 };
 
 /* wp_relay.c: one request between caller and endpoints. */
-extern const WPFrontOps wp_relay_front_ops;
-extern const WPBackOps wp_relay_back_ops;
+extern const WPDownstreamOps wp_relay_front_ops;
+extern const WPUpstreamOps wp_relay_back_ops;
 
 /* Sets the ends of all requests anew, by the present time. */
 void wp_relay_set_timers(WPDirectHost *h, WPTime now);
--- /dev/null
+++ b/io/wp_downstream.c
@@ -0,0 +1,483 @@
+/* Connections of callers. */
+#include "wp_downstream.h"
+#include "wp_clock.h"
+#include "wp_buffered.h"
+#include "wp_net.h"
+
+#include <event2/bufferevent.h>
+#include <event2/listener.h>
+#include <event2/util.h>
+
+enum {
+    SILENT_MS = 6000, /* a caller that answers no keep-alive probe for this time
+                         counts as dead */
+    BACKLOG_BYTES = 64 << 10,  /* unsent output that pauses the endpoint */
+    READ_MAX_BYTES = 64 << 10, /* of the next request, while one is answered */
+    CLOSE_TIMEOUT_MS = 2000,   /* for the caller to take its last answer */
+    LISTEN_BACKLOG = 1024
+};
+
+struct WPDownstream {
+    struct event_base *base;
+    struct evconnlistener *listener;
+    WPRouteLimits limits;
+    const WPDownstreamOps *ops;
+    void *arg;
+    WPList conns;
+    unsigned n_conns;
+    bool draining;
+    bool over_limit; /* the box buffers more than its limit */
+};
+
+static void advance(WPDownstreamConn *p);
+
+static void free_conn(WPDownstreamConn *p)
+{
+    if (p->in_callback) {
+        p->dead = true;
+        return;
+    }
+    wp_list_remove(&p->node);
+    p->downstream->n_conns--;
+    event_free(p->timer);
+    bufferevent_free(p->bev);
+    wp_h1_end(&p->h1);
+    g_byte_array_unref(p->body);
+    g_free(p);
+}
+
+static void set_timer(WPDownstreamConn *p, uint32_t ms)
+{
+    struct timeval at = { ms / WP_MS_PER_S, ms % WP_MS_PER_S * WP_US_PER_MS };
+    event_add(p->timer, &at);
+}
+
+static void on_disconnect(WPDownstreamConn *p)
+{
+    bool busy = p->answering;
+    p->answering = false;
+    if (busy)
+        p->downstream->ops->caller_gone(p->downstream->arg, p);
+    free_conn(p);
+}
+
+/* Closes the connection once all output has been sent, at the latest after
+   CLOSE_TIMEOUT_MS. */
+static void close_after_write(WPDownstreamConn *p)
+{
+    p->closing = true;
+    if (!evbuffer_get_length(bufferevent_get_output(p->bev))) {
+        free_conn(p);
+        return;
+    }
+    set_timer(p, CLOSE_TIMEOUT_MS);
+}
+
+/* Answers input that is not a valid request with an error, and closes the
+   connection. */
+static void refuse(WPDownstreamConn *p, WPCode code, const char *detail)
+{
+    const WPCodeInfo *i = wp_code_info(code);
+    g_autofree char *body = g_strdup_printf(
+        "{\"error\":{\"code\":\"%s\",\"message\":\"%s\"}}\n", i->code, detail);
+    p->downstream->ops->refused(p->downstream->arg, code, detail);
+    p->keep_alive = false;
+    p->answering = true;
+    wp_downstream_send_answer(p, i->status,
+                              wp_str("Content-Type: application/json\r\n"),
+                              wp_str(body));
+}
+
+/* Returns NULL, or why the head is refused. More than one length, or an unknown
+   encoding, would leave the end of the body ambiguous. */
+static const char *check_head(const WPHead *h)
+{
+    unsigned n;
+    WPStr te = wp_head_get(h, "Transfer-Encoding", &n);
+    if (n > 1 || (n == 1 && (te.n != strlen("chunked") ||
+                             g_ascii_strncasecmp(te.p, "chunked", te.n))))
+        return "unknown transfer encoding";
+    bool chunked = n == 1;
+    WPStr length = wp_head_get(h, "Content-Length", &n);
+    if (n > 1 || (n && chunked))
+        return "more than one length";
+    for (size_t i = 0; i < length.n; i++)
+        if (!g_ascii_isdigit(length.p[i]))
+            return "malformed length";
+    if (n && !length.n)
+        return "malformed length";
+    wp_head_get(h, "Host", &n);
+    if (n != 1)
+        return "exactly one Host is needed";
+    return h->target.n && h->target.p[0] == '/' ? NULL : "malformed path";
+}
+
+static bool on_head(void *arg, const WPHead *h)
+{
+    WPDownstreamConn *p = arg;
+    p->keep_alive = h->keep_alive;
+    p->is_head = wp_str_eq(h->method, wp_str("HEAD"));
+    p->head_error = check_head(h);
+    p->head = *h;
+    return true;
+}
+
+static void on_body(void *arg, const char *data, size_t n)
+{
+    WPDownstreamConn *p = arg;
+    if (p->body->len + n > p->downstream->limits.body_bytes)
+        p->too_large = true;
+    else
+        g_byte_array_append(p->body, (const guint8 *)data, (guint)n);
+}
+
+static const WPH1Ops h1_ops = { on_head, on_body };
+
+/* Checks the head at the start of the input. Returns true if it is complete and
+   may be parsed; refuses it if it is too large or malformed. */
+static bool head_ready(WPDownstreamConn *p)
+{
+    struct evbuffer *in = bufferevent_get_input(p->bev);
+    size_t n = wp_h1_head_length(in), have = evbuffer_get_length(in);
+    if (!n && have <= p->downstream->limits.head_bytes)
+        return false;
+    if (!n || n > p->downstream->limits.head_bytes) {
+        refuse(p, WP_HEAD_TOO_LARGE, "the head is too large");
+        return false;
+    }
+    const char *text = (const char *)evbuffer_pullup(in, (ev_ssize_t)n);
+    if (!wp_h1_head_is_strict(text, n)) {
+        refuse(p, WP_BAD_REQUEST, "malformed head");
+        return false;
+    }
+    return true;
+}
+
+static void on_complete(WPDownstreamConn *p)
+{
+    p->request_begun = false;
+    p->answering = true;
+    event_del(p->timer);
+    if (p->head_error)
+        refuse(p, WP_BAD_REQUEST, p->head_error);
+    else if (p->too_large)
+        refuse(p, WP_TOO_LARGE, "the body is too large");
+    else
+        p->downstream->ops->request(p->downstream->arg, p, &p->head);
+}
+
+/* Pauses the upload of a large body while the box is over its buffer limit. */
+static void pause_if_large(WPDownstreamConn *p)
+{
+    if (!p->downstream->over_limit || p->upload_paused ||
+        p->body->len < WP_BUFFERED_EXEMPT_BYTES)
+        return;
+    p->upload_paused = true;
+    bufferevent_disable(p->bev, EV_READ);
+}
+
+/* Parses the input until a request is complete. */
+static void advance(WPDownstreamConn *p)
+{
+    struct evbuffer *in = bufferevent_get_input(p->bev);
+    while (!p->answering && !p->closing && !p->dead &&
+           evbuffer_get_length(in)) {
+        if (!p->request_begun) {
+            p->request_begun = true;
+            set_timer(p, p->downstream->limits.head_ms);
+        }
+        if (!p->h1.has_head && !head_ready(p))
+            return;
+        WPH1State st = wp_h1_feed(&p->h1, in);
+        if (st == WP_H1_ERROR)
+            refuse(p, WP_BAD_REQUEST, "malformed request");
+        else if (p->head_error || p->too_large || st == WP_H1_COMPLETE)
+            on_complete(p);
+        else {
+            set_timer(p, p->downstream->limits.idle_ms);
+            pause_if_large(p);
+            return;
+        }
+    }
+}
+
+static void begin_callback(WPDownstreamConn *p)
+{
+    p->in_callback = true;
+}
+
+static void end_callback(WPDownstreamConn *p)
+{
+    p->in_callback = false;
+    if (p->dead)
+        free_conn(p);
+}
+
+static void on_read(struct bufferevent *bev, void *arg)
+{
+    WPDownstreamConn *p = arg;
+    (void)bev;
+    if (p->closing) {
+        struct evbuffer *in = bufferevent_get_input(p->bev);
+        evbuffer_drain(in, evbuffer_get_length(in));
+        return;
+    }
+    begin_callback(p);
+    p->last_active_us = wp_clock_now(0).mono_us;
+    advance(p);
+    end_callback(p);
+}
+
+static void on_write(struct bufferevent *bev, void *arg)
+{
+    WPDownstreamConn *p = arg;
+    bool empty = !evbuffer_get_length(bufferevent_get_output(bev));
+    if (p->closing && empty) {
+        free_conn(p);
+        return;
+    }
+    begin_callback(p);
+    if (p->backlogged) {
+        p->backlogged = false;
+        bufferevent_setwatermark(bev, EV_WRITE, 0, 0);
+        p->downstream->ops->writable(p->downstream->arg, p);
+    }
+    end_callback(p);
+}
+
+static void on_event(struct bufferevent *bev, short what, void *arg)
+{
+    WPDownstreamConn *p = arg;
+    (void)bev;
+    if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR))
+        on_disconnect(p);
+}
+
+static void on_timer(evutil_socket_t fd, short what, void *arg)
+{
+    WPDownstreamConn *p = arg;
+    (void)fd;
+    (void)what;
+    if (p->answering)
+        return;
+    begin_callback(p);
+    if (p->request_begun && !p->closing)
+        refuse(p, WP_HEAD_SLOW, "the request did not arrive in time");
+    else
+        free_conn(p);
+    end_callback(p);
+}
+
+static void on_accept(struct evconnlistener *l, evutil_socket_t fd,
+                      struct sockaddr *sa, int n, void *arg)
+{
+    WPDownstream *f = arg;
+    WPDownstreamConn *p = g_new0(WPDownstreamConn, 1);
+    (void)l;
+    (void)sa;
+    (void)n;
+    wp_net_options(fd, SILENT_MS);
+    p->downstream = f;
+    p->bev = bufferevent_socket_new(f->base, fd, BEV_OPT_CLOSE_ON_FREE);
+    p->timer = evtimer_new(f->base, on_timer, p);
+    p->body = g_byte_array_new();
+    p->last_active_us = wp_clock_now(0).mono_us;
+    wp_h1_init(&p->h1, true, &h1_ops, p);
+    wp_list_append(&f->conns, &p->node);
+    f->n_conns++;
+    bufferevent_setcb(p->bev, on_read, on_write, on_event, p);
+    bufferevent_setwatermark(
+        p->bev, EV_READ, 0,
+        MAX((size_t)READ_MAX_BYTES, (size_t)f->limits.head_bytes * 2));
+    bufferevent_enable(p->bev, EV_READ | EV_WRITE);
+    set_timer(p, f->limits.idle_ms);
+}
+
+/* The answer is complete: the connection becomes idle, is closed, or continues
+   with the request that the caller has sent meanwhile. */
+static void finish_answer(WPDownstreamConn *p)
+{
+    WPDownstream *f = p->downstream;
+    p->answering = false;
+    p->request = NULL;
+    if (!p->keep_alive || f->draining) {
+        close_after_write(p);
+        return;
+    }
+    wp_h1_reset(&p->h1);
+    g_byte_array_set_size(p->body, 0);
+    p->too_large = false;
+    p->chunked = false;
+    p->last_active_us = wp_clock_now(0).mono_us;
+    set_timer(p, f->limits.idle_ms);
+    /* Deferred, as the owner, from whose call this runs, may still use the
+       connection. */
+    bufferevent_trigger(p->bev, EV_READ, BEV_TRIG_DEFER_CALLBACKS);
+}
+
+static void write_head(WPDownstreamConn *p, int status, WPStr fields)
+{
+    struct evbuffer *out = bufferevent_get_output(p->bev);
+    const char *reason = http_status_str((enum http_status)status);
+    evbuffer_add_printf(out, "HTTP/1.1 %d %s\r\n", status,
+                        reason ? reason : "Unknown");
+    evbuffer_add(out, fields.p, fields.n);
+    if (!p->keep_alive || p->downstream->draining)
+        evbuffer_add_printf(out, "Connection: close\r\n");
+}
+
+void wp_downstream_send_answer(WPDownstreamConn *p, int status, WPStr fields,
+                               WPStr body)
+{
+    struct evbuffer *out = bufferevent_get_output(p->bev);
+    write_head(p, status, fields);
+    evbuffer_add_printf(out, "Content-Length: %zu\r\n\r\n", body.n);
+    if (!p->is_head)
+        evbuffer_add(out, body.p, body.n);
+    finish_answer(p);
+}
+
+void wp_downstream_begin_chunked(WPDownstreamConn *p, int status, WPStr fields)
+{
+    struct evbuffer *out = bufferevent_get_output(p->bev);
+    p->chunked = true;
+    write_head(p, status, fields);
+    evbuffer_add_printf(out, "Transfer-Encoding: chunked\r\n\r\n");
+}
+
+void wp_downstream_send_chunk(WPDownstreamConn *p, const void *data, size_t n)
+{
+    struct evbuffer *out = bufferevent_get_output(p->bev);
+    if (!n || p->is_head) /* an empty chunk would end the answer */
+        return;
+    evbuffer_add_printf(out, "%zx\r\n", n);
+    evbuffer_add(out, data, n);
+    evbuffer_add(out, "\r\n", 2);
+}
+
+void wp_downstream_end_chunked(WPDownstreamConn *p)
+{
+    if (!p->is_head)
+        evbuffer_add(bufferevent_get_output(p->bev), "0\r\n\r\n", 5);
+    finish_answer(p);
+}
+
+void wp_downstream_abort(WPDownstreamConn *p)
+{
+    p->answering = false;
+    p->request = NULL;
+    p->keep_alive = false;
+    close_after_write(p);
+}
+
+bool wp_downstream_is_backlogged(WPDownstreamConn *p)
+{
+    size_t unsent = evbuffer_get_length(bufferevent_get_output(p->bev));
+    if (unsent < BACKLOG_BYTES)
+        return false;
+    p->backlogged = true;
+    bufferevent_setwatermark(p->bev, EV_WRITE, BACKLOG_BYTES / 2, 0);
+    return true;
+}
+
+WPDownstream *wp_downstream_new(struct event_base *base, const char *addr,
+                                const WPDownstreamOps *ops, void *arg,
+                                GError **error)
+{
+    struct sockaddr_storage sa;
+    int n = sizeof(sa);
+    WPDownstream *f = g_new0(WPDownstream, 1);
+    f->base = base;
+    f->ops = ops;
+    f->arg = arg;
+    wp_list_init(&f->conns);
+    if (!evutil_parse_sockaddr_port(addr, (struct sockaddr *)&sa, &n))
+        f->listener = evconnlistener_new_bind(
+            base, on_accept, f,
+            LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE,
+            LISTEN_BACKLOG, (struct sockaddr *)&sa, n);
+    if (f->listener)
+        return f;
+    g_set_error(error, WP_ERROR, WP_ERROR_CONTACT, "cannot listen on %s", addr);
+    g_free(f);
+    return NULL;
+}
+
+void wp_downstream_free(WPDownstream *f)
+{
+    if (!f)
+        return;
+    wp_list_each_safe (it, tmp, &f->conns)
+        free_conn(wp_list_item(it, WPDownstreamConn, node));
+    evconnlistener_free(f->listener);
+    g_free(f);
+}
+
+void wp_downstream_set_limits(WPDownstream *f, const WPRouteLimits *limits)
+{
+    f->limits = *limits;
+}
+
+uint64_t wp_downstream_poll_buffered(WPDownstream *f, WPTime now)
+{
+    uint64_t sum = 0;
+    wp_list_each (it, &f->conns) {
+        WPDownstreamConn *p = wp_list_item(it, WPDownstreamConn, node);
+        size_t unread = evbuffer_get_length(bufferevent_get_output(p->bev));
+        sum += unread + p->body->len +
+               evbuffer_get_length(bufferevent_get_input(p->bev));
+        if (!unread || unread < p->unread_bytes || !p->last_read_us)
+            p->last_read_us = now.mono_us;
+        p->unread_bytes = unread;
+    }
+    return sum;
+}
+
+void wp_downstream_set_over_limit(WPDownstream *f, bool over)
+{
+    f->over_limit = over;
+    wp_list_each (it, &f->conns) {
+        WPDownstreamConn *p = wp_list_item(it, WPDownstreamConn, node);
+        if (over || !p->upload_paused)
+            continue;
+        p->upload_paused = false;
+        bufferevent_enable(p->bev, EV_READ);
+    }
+}
+
+unsigned wp_downstream_close_unread(WPDownstream *f, WPTime now,
+                                    uint32_t unread_ms)
+{
+    int64_t stalled_since_us = now.mono_us - (int64_t)unread_ms * WP_US_PER_MS;
+    unsigned n = 0;
+    wp_list_each_safe (it, tmp, &f->conns) {
+        WPDownstreamConn *p = wp_list_item(it, WPDownstreamConn, node);
+        if (!p->unread_bytes || p->last_read_us > stalled_since_us)
+            continue;
+        n++;
+        on_disconnect(p);
+    }
+    return n;
+}
+
+void wp_downstream_start_drain(WPDownstream *f)
+{
+    f->draining = true;
+}
+
+unsigned wp_downstream_close_idle(WPDownstream *f, WPTime now, uint32_t idle_ms)
+{
+    int64_t idle_us = (int64_t)idle_ms * WP_US_PER_MS;
+    wp_list_each_safe (it, tmp, &f->conns) {
+        WPDownstreamConn *p = wp_list_item(it, WPDownstreamConn, node);
+        bool idle = !p->answering && !p->request_begun && !p->closing;
+        if (idle && now.mono_us - p->last_active_us >= idle_us)
+            free_conn(p);
+    }
+    return f->n_conns;
+}
+
+unsigned wp_downstream_connection_count(const WPDownstream *f)
+{
+    return f->n_conns;
+}
--- /dev/null
+++ b/io/wp_downstream.h
@@ -0,0 +1,111 @@
+/* HTTP/1.1 server for callers, in direct mode: parses requests strictly, one at
+ * a time on each connection, and writes their answers. */
+#ifndef WP_DOWNSTREAM_H
+#define WP_DOWNSTREAM_H
+
+#include "wp_code.h"
+#include "wp_h1.h"
+#include "wp_route.h"
+
+#include <event2/event.h>
+
+typedef struct WPDownstream WPDownstream;
+
+/* The connection of one caller. It also identifies the request that is being
+   answered on it, if any. */
+typedef struct WPDownstreamConn {
+    WPList node;
+    WPDownstream *downstream;
+    struct bufferevent *bev;
+    WPH1 h1;
+    struct event *timer; /* head, idle and close timeouts */
+    void *request;       /* the owner's state of the request that is being
+                            answered */
+    WPHead head;
+    GByteArray *body;
+    const char *head_error; /* why the head is refused, or NULL */
+    bool too_large;         /* the body exceeds the limit */
+    bool request_begun;     /* part of a request has arrived */
+    bool answering;         /* a complete request is being answered */
+    bool closing;           /* only output that is already written is sent */
+    bool dead;              /* freed at the end of the running callback */
+    bool in_callback;
+    bool keep_alive;      /* the caller allows another request */
+    bool chunked;         /* the answer is sent in chunks */
+    bool is_head;         /* HEAD request: the answer has no body */
+    bool backlogged;      /* the output buffer is full; `writable` is due */
+    bool upload_paused;   /* the body is not read on, as the box buffers more
+                             than its limit */
+    size_t unread_bytes;  /* output that the caller had not taken at the last
+                             wp_downstream_poll_buffered() */
+    int64_t last_read_us; /* last poll at which the caller had taken some
+                             output, or none was waiting */
+    int64_t last_active_us;
+} WPDownstreamConn;
+
+typedef struct WPDownstreamOps {
+    /* A complete request has arrived. `h` stays valid until the request is
+       answered. */
+    void (*request)(void *arg, WPDownstreamConn *p, const WPHead *h);
+    /* The connection ended before the answer was complete. */
+    void (*caller_gone)(void *arg, WPDownstreamConn *p);
+    /* The caller has taken output again after wp_downstream_is_backlogged()
+       returned true. */
+    void (*writable)(void *arg, WPDownstreamConn *p);
+    /* Input that is not a valid request has been refused with `code`. */
+    void (*refused)(void *arg, WPCode code, const char *detail);
+} WPDownstreamOps;
+
+/* Listens on `addr` (IP:PORT). `ops` are called with `arg`. Returns NULL and
+   sets `error` on failure. */
+WPDownstream *wp_downstream_new(struct event_base *base, const char *addr,
+                                const WPDownstreamOps *ops, void *arg,
+                                GError **error);
+void wp_downstream_free(WPDownstream *f);
+
+/* Sets the size limits and timeouts of requests. The read buffer size, which
+   follows from them, changes only for connections that are accepted later. */
+void wp_downstream_set_limits(WPDownstream *f, const WPRouteLimits *limits);
+
+/* Starts to drain: from now on each answer closes its connection, so that the
+   caller connects to another box. */
+void wp_downstream_start_drain(WPDownstream *f);
+
+/* While draining: closes connections that have been idle for `idle_ms`.
+   Returns how many connections are left. */
+unsigned wp_downstream_close_idle(WPDownstream *f, WPTime now,
+                                  uint32_t idle_ms);
+unsigned wp_downstream_connection_count(const WPDownstream *f);
+
+/* Returns the bytes buffered for all callers (input, bodies and output), and
+   records which callers have read since the last call. To be called several
+   times a second. */
+uint64_t wp_downstream_poll_buffered(WPDownstream *f, WPTime now);
+
+/* Tells whether the box buffers more than its limit (`over`). While it does,
+   request bodies of WP_BUFFERED_EXEMPT_BYTES and more are not read on. */
+void wp_downstream_set_over_limit(WPDownstream *f, bool over);
+
+/* Closes the connections of callers that have output waiting and have read
+   none of it for `unread_ms`. Returns how many were closed. */
+unsigned wp_downstream_close_unread(WPDownstream *f, WPTime now,
+                                    uint32_t unread_ms);
+
+/* Sends a complete answer. `fields` are header lines with their line ends. */
+void wp_downstream_send_answer(WPDownstreamConn *p, int status, WPStr fields,
+                               WPStr body);
+
+/* Begins an answer in chunked encoding, sends one chunk of it, and ends it. */
+void wp_downstream_begin_chunked(WPDownstreamConn *p, int status, WPStr fields);
+void wp_downstream_send_chunk(WPDownstreamConn *p, const void *data, size_t n);
+void wp_downstream_end_chunked(WPDownstreamConn *p);
+
+/* Aborts a chunked answer: closes the connection without the last chunk, so
+   that the caller sees that the answer is incomplete. */
+void wp_downstream_abort(WPDownstreamConn *p);
+
+/* Returns whether so much output waits to be read by the caller that the
+   endpoint should be paused; `writable` is then called later. */
+bool wp_downstream_is_backlogged(WPDownstreamConn *p);
+
+#endif
--- a/io/wp_engine.c
+++ b/io/wp_engine.c
@@ -1,16 +1,19 @@
-/* Requests to the endpoint beside this agent, over evhttp. */
+/* Sends requests to the endpoint of this agent, over evhttp. */
 #include "wp_runner_int.h"
 
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
 #include <event2/http_struct.h>
 
-#define COPY_MOST (4 << 20)
-#define IDLE_MOST 64
-#define ENGINE_RETRY_MS 500
+/* Bytes of an answer that is not streamed that are copied to read its usage. */
+#define USAGE_COPY_MAX (4 << 20)
+#define IDLE_MAX 64 /* idle connections to the endpoint */
+/* Back-off reported to the entry when the endpoint is down or refuses. */
+#define RETRY_AFTER_MS 500
 
-/* Nothing is put into the output before the connection stands, so bytes that
-   leave it have gone to the endpoint: from then on it may have run. */
+/* Nothing is written to the output buffer before the connection is established,
+   so bytes drained from it have been sent: from then on the endpoint may have
+   run the request. */
 static void on_output(struct evbuffer *b, const struct evbuffer_cb_info *info,
                       void *arg)
 {
@@ -47,7 +50,7 @@
     WPEngineCon *c;
     while ((c = g_queue_pop_head(&r->dead)))
         close_con(c);
-    while (r->idle.length > IDLE_MOST)
+    while (r->idle.length > IDLE_MAX)
         close_con(g_queue_pop_tail(&r->idle));
 }
 
@@ -77,8 +80,8 @@
     wp_run_send(r, &f);
 }
 
-/* The endpoint's own word that it has not run the request. */
-static bool refused_by_endpoint(int status)
+/* Whether the status means that the endpoint has not run the request. */
+static bool is_refusal(int status)
 {
     return status == 429 || status == 503;
 }
@@ -87,13 +90,14 @@
 {
     WPRun *r = arg;
     r->status = evhttp_request_get_response_code(req);
-    if (r->status < 500 && !refused_by_endpoint(r->status))
+    if (r->status < 500 && !is_refusal(r->status))
         send_head(r, req);
     return 0;
 }
 
-/* evhttp turns reading on again after its callback: turn it off later. */
-static void pause_later(evutil_socket_t fd, short what, void *arg)
+/* evhttp enables reading again after its callback, so reading is disabled in a
+   later callback. */
+static void on_pause(evutil_socket_t fd, short what, void *arg)
 {
     WPRun *r = arg;
     (void)fd;
@@ -108,7 +112,7 @@
         return;
     r->paused = true;
     if (!r->pause)
-        r->pause = evtimer_new(wp_host_base(r->runner->host), pause_later, r);
+        r->pause = evtimer_new(wp_host_base(r->runner->host), on_pause, r);
     event_active(r->pause, EV_TIMEOUT, 0);
 }
 
@@ -150,7 +154,7 @@
         send_chunk(r, out->data, out->len);
         return;
     }
-    if (r->copy->len + n <= COPY_MOST)
+    if (r->copy->len + n <= USAGE_COPY_MAX)
         g_byte_array_append(r->copy, data, (guint)n);
     send_chunk(r, data, n);
 }
@@ -162,26 +166,27 @@
     r->request = NULL;
     r->con = NULL;
     if (!req || !evhttp_request_get_response_code(req)) {
-        /* Nothing came. If nothing left either, it was surely not run. */
+        /* No response. If nothing was sent either, the request was certainly
+           not run. */
         bool written = c->written;
-        /* evhttp still works on the connection: it may not be freed here. */
+        /* evhttp still uses the connection, so it must not be freed here. */
         g_queue_push_head(&r->runner->dead, c);
         if (written)
             wp_run_finished(r, false);
         else
-            wp_run_not_begun(r, WP_ENDPOINT_DOWN, ENGINE_RETRY_MS);
+            wp_run_not_begun(r, WP_ENDPOINT_DOWN, RETRY_AFTER_MS);
         return;
     }
     g_queue_push_head(&r->runner->idle, c);
-    if (refused_by_endpoint(r->status))
-        wp_run_not_begun(r, WP_OVERLOADED, ENGINE_RETRY_MS);
+    if (is_refusal(r->status))
+        wp_run_not_begun(r, WP_OVERLOADED, RETRY_AFTER_MS);
     else if (r->status >= 500)
         wp_run_finished(r, false);
     else
         wp_run_finished(r, !is_sse(r) || r->sse.done || r->status != 200);
 }
 
-static enum evhttp_cmd_type command(const char *method)
+static enum evhttp_cmd_type http_method(const char *method)
 {
     static const struct {
         const char *name;
@@ -209,9 +214,11 @@
     evhttp_add_header(h, "X-Priority", rank);
 }
 
-/* A kept connection that the endpoint has just closed would leave the fate
-   of the request unknown: what may not be repeated gets a fresh one. */
-static WPEngineCon *take_con(WPRun *r)
+/* Returns an idle or a new connection. If the endpoint closes an idle
+   connection while a request is sent on it, it is unknown whether the request
+   ran; a request with an idempotency key therefore always gets a new
+   connection. */
+static WPEngineCon *get_con(WPRun *r)
 {
     WPEngineCon *c =
         r->job->holds_key ? NULL : g_queue_pop_head(&r->runner->idle);
@@ -222,7 +229,7 @@
 {
     const Wp__Start *s = r->job->start;
     struct evhttp_request *req = evhttp_request_new(on_done, r);
-    r->con = take_con(r);
+    r->con = get_con(r);
     r->con->written = false;
     r->request = req;
     r->begun = true;
@@ -233,7 +240,7 @@
     add_headers(r, req);
     evbuffer_add(evhttp_request_get_output_buffer(req), s->body.data,
                  s->body.len);
-    evhttp_make_request(r->con->con, req, command(s->method), s->path);
+    evhttp_make_request(r->con->con, req, http_method(s->method), s->path);
 }
 
 void wp_engine_abort(WPRun *r)
--- a/io/wp_h1.c
+++ b/io/wp_h1.c
@@ -1,7 +1,7 @@
-/* HTTP/1.1 messages. */
+/* Parser of HTTP/1.1 messages. */
 #include "wp_h1.h"
 
-/* Where one field lies in the text. */
+/* Offsets and lengths of one field in WPH1.text. */
 typedef struct Span {
     size_t name, name_n, value, value_n;
 } Span;
@@ -16,14 +16,14 @@
 {
     WPH1 *h = p->data;
     g_byte_array_append(h->text, (const guint8 *)at, (guint)n);
-    h->target_n += n;
+    h->target_length += n;
     return 0;
 }
 
-static int on_name(http_parser *p, const char *at, size_t n)
+static int on_field_name(http_parser *p, const char *at, size_t n)
 {
     WPH1 *h = p->data;
-    if (h->has_head) /* a trailer; they are not passed on */
+    if (h->has_head) /* trailers are not forwarded */
         return 0;
     if (h->in_value || !h->spans->len) {
         Span s = { h->text->len, 0, 0, 0 };
@@ -35,7 +35,7 @@
     return 0;
 }
 
-static int on_value(http_parser *p, const char *at, size_t n)
+static int on_field_value(http_parser *p, const char *at, size_t n)
 {
     WPH1 *h = p->data;
     if (h->has_head || !h->spans->len)
@@ -55,8 +55,9 @@
     return wp_strn((const char *)h->text->data + at, n);
 }
 
-/* Whether an answer tells no length, so that its connection ends it. */
-static bool needs_close(const http_parser *p)
+/* Whether the body of a response ends with the connection, as the response has
+   neither a length nor chunked encoding. */
+static bool ends_with_connection(const http_parser *p)
 {
     bool bodiless = p->status_code / 100 == 1 || p->status_code == 204 ||
                     p->status_code == 304;
@@ -76,12 +77,12 @@
     }
     bool request = p->type == HTTP_REQUEST;
     WPHead head = { .method = wp_str(request ? http_method_str(p->method) : ""),
-                    .target = text_at(h, 0, h->target_n),
+                    .target = text_at(h, 0, h->target_length),
                     .status = request ? 0 : p->status_code,
                     .fields = (const WPField *)h->fields->data,
                     .n_fields = h->fields->len,
                     .keep_alive = http_should_keep_alive(p),
-                    .until_close = needs_close(p) };
+                    .until_close = ends_with_connection(p) };
     return h->ops->head(h->arg, &head) ? 0 : 1;
 }
 
@@ -92,22 +93,23 @@
     return 0;
 }
 
-static int on_whole(http_parser *p)
+static int on_complete(http_parser *p)
 {
     WPH1 *h = p->data;
-    h->whole = true;
+    h->complete = true;
     http_parser_pause(p, 1);
     return 0;
 }
 
 static const http_parser_settings settings = { .on_message_begin = on_begin,
                                                .on_url = on_url,
-                                               .on_header_field = on_name,
-                                               .on_header_value = on_value,
+                                               .on_header_field = on_field_name,
+                                               .on_header_value =
+                                                   on_field_value,
                                                .on_headers_complete = on_head,
                                                .on_body = on_body,
                                                .on_message_complete =
-                                                   on_whole };
+                                                   on_complete };
 
 void wp_h1_init(WPH1 *h, bool requests, const WPH1Ops *ops, void *arg)
 {
@@ -135,39 +137,39 @@
     g_byte_array_set_size(h->text, 0);
     g_array_set_size(h->spans, 0);
     g_array_set_size(h->fields, 0);
-    h->target_n = 0;
+    h->target_length = 0;
     h->in_value = false;
     h->has_head = false;
-    h->whole = false;
+    h->complete = false;
 }
 
 WPH1State wp_h1_feed(WPH1 *h, struct evbuffer *in)
 {
-    while (!h->whole) {
+    while (!h->complete) {
         size_t n = evbuffer_get_contiguous_space(in);
         if (!n)
             return WP_H1_MORE;
         const char *p = (const char *)evbuffer_pullup(in, (ev_ssize_t)n);
-        size_t took = http_parser_execute(&h->parser, &settings, p, n);
+        size_t n_parsed = http_parser_execute(&h->parser, &settings, p, n);
         enum http_errno e = HTTP_PARSER_ERRNO(&h->parser);
-        evbuffer_drain(in, took);
+        evbuffer_drain(in, n_parsed);
         if (e != HPE_OK && e != HPE_PAUSED)
-            return WP_H1_BAD;
-        if (h->parser.upgrade) /* nobody was asked to switch protocols */
-            return WP_H1_BAD;
+            return WP_H1_ERROR;
+        if (h->parser.upgrade) /* no protocol switch was requested */
+            return WP_H1_ERROR;
     }
-    return WP_H1_WHOLE;
+    return WP_H1_COMPLETE;
 }
 
 WPH1State wp_h1_eof(WPH1 *h)
 {
-    if (h->whole)
-        return WP_H1_WHOLE;
+    if (h->complete)
+        return WP_H1_COMPLETE;
     http_parser_execute(&h->parser, &settings, NULL, 0);
-    return h->whole ? WP_H1_WHOLE : WP_H1_BAD;
+    return h->complete ? WP_H1_COMPLETE : WP_H1_ERROR;
 }
 
-bool wp_field_is(const WPField *f, const char *name)
+bool wp_field_has_name(const WPField *f, const char *name)
 {
     size_t n = strlen(name);
     return f->name.n == n && !g_ascii_strncasecmp(f->name.p, name, n);
@@ -178,7 +180,7 @@
     WPStr found = wp_str("");
     unsigned count = 0;
     for (size_t i = 0; i < h->n_fields; i++) {
-        if (!wp_field_is(&h->fields[i], name))
+        if (!wp_field_has_name(&h->fields[i], name))
             continue;
         if (!count++)
             found = h->fields[i].value;
@@ -188,11 +190,11 @@
     return found;
 }
 
-/* Whether Connection names the field. */
-static bool is_named(const WPHead *h, const WPField *f)
+/* Whether the Connection field lists this field. */
+static bool is_in_connection_field(const WPHead *h, const WPField *f)
 {
     for (size_t i = 0; i < h->n_fields; i++) {
-        if (!wp_field_is(&h->fields[i], "Connection"))
+        if (!wp_field_has_name(&h->fields[i], "Connection"))
             continue;
         WPStr rest = h->fields[i].value;
         while (rest.n) {
@@ -205,7 +207,7 @@
     return false;
 }
 
-bool wp_field_is_hop(const WPHead *h, const WPField *f)
+bool wp_field_is_hop_by_hop(const WPHead *h, const WPField *f)
 {
     static const char *const names[] = {
         "Connection", "Keep-Alive",         "Transfer-Encoding",
@@ -214,9 +216,9 @@
         "Expect",     "Content-Length"
     };
     for (size_t i = 0; i < WP_COUNT(names); i++)
-        if (wp_field_is(f, names[i]))
+        if (wp_field_has_name(f, names[i]))
             return true;
-    return is_named(h, f);
+    return is_in_connection_field(h, f);
 }
 
 size_t wp_h1_head_length(struct evbuffer *in)
--- a/io/wp_h1.h
+++ b/io/wp_h1.h
@@ -1,5 +1,6 @@
-/* HTTP/1.1 messages on bufferevents, read by the packaged http_parser. evhttp
- * hides what the direct way needs to see: see docs/PLATFORM.md. */
+/* Parser of HTTP/1.1 messages from evbuffers, on top of the packaged
+ * http_parser. evhttp hides what direct mode needs to see: see
+ * docs/PLATFORM.md. */
 #ifndef WP_H1_H
 #define WP_H1_H
 
@@ -15,7 +16,7 @@
 /* The start line and header fields of one message. */
 typedef struct WPHead {
     WPStr method, target; /* of a request */
-    int status;           /* of an answer */
+    int status;           /* of a response */
     const WPField *fields;
     size_t n_fields;
     bool keep_alive;
@@ -23,14 +24,17 @@
 } WPHead;
 
 typedef enum WPH1State {
-    WP_H1_MORE,  /* needs more bytes */
-    WP_H1_WHOLE, /* one message has ended; what follows is left in place */
-    WP_H1_BAD    /* no HTTP, or broken off */
+    WP_H1_MORE,     /* needs more bytes */
+    WP_H1_COMPLETE, /* one message has ended; the bytes after it are left in the
+                       buffer */
+    WP_H1_ERROR     /* not valid HTTP, or truncated */
 } WPH1State;
 
 typedef struct WPH1Ops {
-    /* Returns false when no body follows, whatever the head says. */
+    /* The head is parsed. Returns false if no body follows, whatever the head
+       says. */
     bool (*head)(void *arg, const WPHead *h);
+    /* The next `n` bytes of the body. */
     void (*body)(void *arg, const char *p, size_t n);
 } WPH1Ops;
 
@@ -38,40 +42,48 @@
     http_parser parser;
     const WPH1Ops *ops;
     void *arg;
-    GByteArray *text; /* start line and fields */
-    GArray *spans;    /* of the fields in `text` */
-    GArray *fields;   /* WPField */
-    size_t target_n;
-    bool in_value, has_head, whole;
+    GByteArray *text;     /* request target, field names and values */
+    GArray *spans;        /* offsets of the fields in `text` */
+    GArray *fields;       /* WPField */
+    size_t target_length; /* bytes of the request target in `text` */
+    bool in_value, has_head, complete;
 } WPH1;
 
+/* Initializes a parser of requests or of responses; `ops` are called with
+   `arg`. */
 void wp_h1_init(WPH1 *h, bool requests, const WPH1Ops *ops, void *arg);
+
+/* Frees what `h` owns, but not `h` itself. */
 void wp_h1_end(WPH1 *h);
 
-/* Makes ready for the next message. */
+/* Prepares for the next message; the head of the last one becomes invalid. */
 void wp_h1_reset(WPH1 *h);
 
-/* Takes bytes off `in` until a message has ended. */
+/* Consumes bytes from `in` until a message has ended, and calls the ops. */
 WPH1State wp_h1_feed(WPH1 *h, struct evbuffer *in);
 
-/* The peer has closed: whether that ends the message well. */
+/* To be called when the peer has closed the connection. Returns WP_H1_COMPLETE
+   if this ends the message properly, else WP_H1_ERROR. */
 WPH1State wp_h1_eof(WPH1 *h);
 
-/* The value of a field, or an empty string; `n` is set to how many there
-   are, unless it is NULL. Names do not depend on case. */
+/* Returns the value of the first field with this name, or an empty string. `n`,
+   unless NULL, is set to the number of such fields. Case is ignored. */
 WPStr wp_head_get(const WPHead *h, const char *name, unsigned *n);
 
-bool wp_field_is(const WPField *f, const char *name);
+/* Returns whether the field has this name; case is ignored. */
+bool wp_field_has_name(const WPField *f, const char *name);
 
-/* Whether the field concerns one connection only. */
-bool wp_field_is_hop(const WPHead *h, const WPField *f);
+/* Returns whether the field is hop-by-hop: it concerns one connection only and
+   must not be forwarded. */
+bool wp_field_is_hop_by_hop(const WPHead *h, const WPField *f);
 
-/* The length of a whole head at the start of `in`, with its empty line; 0
-   when it has not wholly come. */
+/* Returns the length of the head at the start of `in`, with its empty line; 0
+   while the head is incomplete. */
 size_t wp_h1_head_length(struct evbuffer *in);
 
-/* Whether a head of `n` bytes has only proper line ends and no folded lines:
-   what two readers could take apart differently is refused. */
+/* Returns whether a head of `n` bytes has only CRLF line ends, no folded lines
+   and no NUL bytes. Any other head is refused, as two parsers could read it
+   differently (request smuggling). */
 bool wp_h1_head_is_strict(const char *p, size_t n);
 
 #endif
--- a/io/wp_host_admin.c
+++ b/io/wp_host_admin.c
@@ -10,16 +10,16 @@
         /* What the balancer asks: turned first at a planned stop, and not yet
            good while a box that has just started could only refuse. */
         bool starting = !wp_node_ready(h->node);
-        wp_http_text(r, h->leaving || starting ? 503 : 200, "text/plain",
-                     wp_str(h->leaving ? "leaving\n"
-                            : starting ? "starting\n"
-                                       : "ok\n"));
+        wp_http_reply_text(r, h->leaving || starting ? 503 : 200, "text/plain",
+                           wp_str(h->leaving ? "leaving\n"
+                                  : starting ? "starting\n"
+                                             : "ok\n"));
         return true;
     }
     if (!strcmp(path, "/readyz")) {
         bool ready = wp_node_ready(h->node) && !h->leaving;
-        wp_http_text(r, ready ? 200 : 503, "text/plain",
-                     wp_str(ready ? "ready\n" : "not ready\n"));
+        wp_http_reply_text(r, ready ? 200 : 503, "text/plain",
+                           wp_str(ready ? "ready\n" : "not ready\n"));
         return true;
     }
     if (strcmp(path, "/metrics"))
@@ -28,7 +28,7 @@
     g_autofree char *labels = g_strdup_printf(
         "box=\"%s\",zone=\"%s\"", h->settings->id, h->settings->zone);
     wp_counters_text(wp_node_counters(h->node), labels, out);
-    wp_http_text(r, 200, "text/plain; version=0.0.4", wp_str(out->str));
+    wp_http_reply_text(r, 200, "text/plain; version=0.0.4", wp_str(out->str));
     return true;
 }
 
@@ -71,7 +71,7 @@
         h->kv->ops->unwatch(h->kv);
     if (h->fault.store)
         wp_node_on_watch_end(h->node, wp_host_now(h));
-    wp_http_json(r, 200, json_object());
+    wp_http_reply_json(r, 200, json_object());
 }
 
 static void add_member(void *arg, const WPMemberRow *r)
@@ -90,18 +90,18 @@
     if (!strcmp(path, "/v1/test") && h->settings->test_hooks) {
         set_fault(h, r);
     } else if (!strcmp(path, "/v1/status")) {
-        wp_http_json(r, 200, status_json(h));
+        wp_http_reply_json(r, 200, status_json(h));
     } else if (!strcmp(path, "/v1/timeline")) {
-        g_autofree char *request = wp_http_query(r, "request");
-        wp_http_json(
+        g_autofree char *request = wp_http_query_param(r, "request");
+        wp_http_reply_json(
             r, 200,
             wp_events_json(wp_node_events(h->node), request, TIMELINE_MOST));
     } else if (!strcmp(path, "/v1/boxes")) {
         json_t *list = json_array();
         wp_members_each(wp_node_members(h->node), add_member, list);
-        wp_http_json(r, 200, list);
+        wp_http_reply_json(r, 200, list);
     } else if (!h->ops->admin || !h->ops->admin(h->role, r, path)) {
-        wp_http_json(r, 404, json_pack("{s:s}", "error", "no such page"));
+        wp_http_reply_json(r, 404, json_pack("{s:s}", "error", "no such page"));
     }
 }
 
--- a/io/wp_http.c
+++ b/io/wp_http.c
@@ -1,4 +1,4 @@
-/* HTTP calls and answers. */
+/* HTTP client and response helpers over evhttp. */
 #include "wp_http.h"
 
 #include <event2/buffer.h>
@@ -20,11 +20,11 @@
     WPList link;
     WPHttp *owner;
     WPHttpDone done;
-    GDestroyNotify drop; /* frees `arg` in place of `done`; or NULL */
+    GDestroyNotify drop; /* called in place of `done` to free `arg`; or NULL */
     void *arg;
 } Call;
 
-bool wp_http_target(const char *target, char **host, uint16_t *port)
+bool wp_http_parse_target(const char *target, char **host, uint16_t *port)
 {
     const char *colon = strrchr(target, ':');
     char *end;
@@ -44,21 +44,22 @@
     h->base = base;
     h->timeout_ms = timeout_ms;
     wp_list_init(&h->calls);
-    if (!wp_http_target(target, &h->host, &h->port)) {
+    if (!wp_http_parse_target(target, &h->host, &h->port)) {
         g_free(h);
         return NULL;
     }
     return h;
 }
 
-/* A connection that is no longer used, and its calls. */
+/* A connection that is no longer used, and its calls in flight. */
 typedef struct Retired {
     struct evhttp_connection *con;
     WPList calls;
 } Retired;
 
-/* evhttp tells nothing of the calls of a connection that is freed. */
-static void end_retired(evutil_socket_t fd, short what, void *arg)
+/* Frees a retired connection. evhttp does not report the calls of a connection
+   that is freed, so their `done` is called here. */
+static void free_retired(evutil_socket_t fd, short what, void *arg)
 {
     Retired *old = arg;
     (void)fd;
@@ -73,9 +74,9 @@
     g_free(old);
 }
 
-/* The connection is freed from the loop: this may be called from within one of
-   its own answers. */
-void wp_http_renew(WPHttp *h)
+/* The connection is freed later, from the event loop, as this function may be
+   called from within a callback of that connection. */
+void wp_http_reconnect(WPHttp *h)
 {
     const struct timeval at_once = { 0, 0 };
     if (!h->con)
@@ -88,7 +89,7 @@
         wp_list_append(&old->calls, it);
     }
     h->con = NULL;
-    event_base_once(h->base, -1, EV_TIMEOUT, end_retired, old, &at_once);
+    event_base_once(h->base, -1, EV_TIMEOUT, free_retired, old, &at_once);
 }
 
 bool wp_http_is_busy(const WPHttp *h)
@@ -108,7 +109,8 @@
 {
     if (!h)
         return;
-    /* evhttp may report the end of some calls: they must find no owner. */
+    /* evhttp may report the end of some calls while their connection is freed;
+       without an owner they are dropped. */
     wp_list_each (it, &h->calls)
         wp_list_item(it, Call, link)->owner = NULL;
     if (h->con)
@@ -119,7 +121,7 @@
     g_free(h);
 }
 
-static void on_done(struct evhttp_request *r, void *arg)
+static void on_response(struct evhttp_request *r, void *arg)
 {
     Call *c = arg;
     int status = r ? evhttp_request_get_response_code(r) : 0;
@@ -138,7 +140,7 @@
     g_free(c);
 }
 
-static struct evhttp_connection *connection(WPHttp *h)
+static struct evhttp_connection *get_connection(WPHttp *h)
 {
     struct timeval limit = { h->timeout_ms / WP_MS_PER_S,
                              h->timeout_ms % WP_MS_PER_S * WP_US_PER_MS };
@@ -152,15 +154,16 @@
 void wp_http_call(WPHttp *h, const char *path, const char *body,
                   WPHttpDone done, GDestroyNotify drop, void *arg)
 {
-    wp_http_call_with(h, path, NULL, 0, body, done, drop, arg);
+    wp_http_call_with_fields(h, path, NULL, 0, body, done, drop, arg);
 }
 
-void wp_http_call_with(WPHttp *h, const char *path, const WPHttpField *fields,
-                       size_t n_fields, const char *body, WPHttpDone done,
-                       GDestroyNotify drop, void *arg)
+void wp_http_call_with_fields(WPHttp *h, const char *path,
+                              const WPHttpField *fields, size_t n_fields,
+                              const char *body, WPHttpDone done,
+                              GDestroyNotify drop, void *arg)
 {
     Call *c = g_new0(Call, 1);
-    struct evhttp_request *r = evhttp_request_new(on_done, c);
+    struct evhttp_request *r = evhttp_request_new(on_response, c);
     struct evkeyvalq *head = evhttp_request_get_output_headers(r);
     c->owner = h;
     c->done = done;
@@ -174,11 +177,11 @@
         evhttp_add_header(head, "Content-Type", "application/json");
         evbuffer_add(evhttp_request_get_output_buffer(r), body, strlen(body));
     }
-    evhttp_make_request(connection(h), r,
+    evhttp_make_request(get_connection(h), r,
                         body ? EVHTTP_REQ_POST : EVHTTP_REQ_GET, path);
 }
 
-/* Accepted connections inherit the listener's option. */
+/* TCP_NODELAY is set on the listener; accepted connections inherit it. */
 bool wp_http_listen(struct evhttp *http, const char *addr, uint16_t port)
 {
     int one = 1;
@@ -191,8 +194,8 @@
     return true;
 }
 
-void wp_http_text(struct evhttp_request *r, int status, const char *type,
-                  WPStr body)
+void wp_http_reply_text(struct evhttp_request *r, int status, const char *type,
+                        WPStr body)
 {
     struct evbuffer *b = evbuffer_new();
     evbuffer_add(b, body.p, body.n);
@@ -202,15 +205,15 @@
     evbuffer_free(b);
 }
 
-void wp_http_json(struct evhttp_request *r, int status, json_t *o)
+void wp_http_reply_json(struct evhttp_request *r, int status, json_t *o)
 {
     char *text = json_dumps(o, JSON_COMPACT);
-    wp_http_text(r, status, "application/json", wp_str(text));
+    wp_http_reply_text(r, status, "application/json", wp_str(text));
     free(text);
     json_decref(o);
 }
 
-char *wp_http_query(struct evhttp_request *r, const char *name)
+char *wp_http_query_param(struct evhttp_request *r, const char *name)
 {
     struct evkeyvalq q;
     const struct evhttp_uri *uri = evhttp_request_get_evhttp_uri(r);
--- a/io/wp_http.h
+++ b/io/wp_http.h
@@ -1,4 +1,5 @@
-/* HTTP over evhttp: calls to other services, and small answers. */
+/* HTTP over evhttp: a client for other services, and helpers for short
+ * responses. */
 #ifndef WP_HTTP_H
 #define WP_HTTP_H
 
@@ -10,58 +11,69 @@
 
 typedef struct WPHttp WPHttp;
 
-/* `status` is 0 when there was no answer; `body` lives during the call. */
+/* Called with the response to a call. `status` is 0 if there was none; `body`
+   is valid during the call only. */
 typedef void (*WPHttpDone)(void *arg, int status, WPStr body);
 
-/* A client of the service at `target` (host:port), which keeps one
-   connection. Calls are answered in order. */
+/* Makes a client of the service at `target` (host:port), which keeps one
+   connection. Calls are answered in order. Returns NULL if `target` is
+   malformed. */
 WPHttp *wp_http_new(struct event_base *base, const char *target,
                     int timeout_ms);
 
-/* Calls under way end without their `done` being called; `drop` is. */
+/* Frees the client. Calls in flight are dropped: their `drop` is called, their
+   `done` is not. */
 void wp_http_free(WPHttp *h);
 
-/* A field of a call's head. */
+/* A header field of a call. */
 typedef struct WPHttpField {
     const char *name;
     char *value;
 } WPHttpField;
 
-/* `body` NULL: GET; else POST with JSON. `done` is always called once, but
-   never from within this call; if the client is freed before, `drop` is called
-   with `arg` instead (NULL: nothing is to be freed). */
+/* Sends a GET request for `path`, or, if `body` is not NULL, a POST request
+   with this JSON text. `done` is called exactly once with `arg`, but never from
+   within this call. If the client is freed before that, `drop` is called with
+   `arg` instead (NULL: nothing is to be freed). */
 void wp_http_call(WPHttp *h, const char *path, const char *body,
                   WPHttpDone done, GDestroyNotify drop, void *arg);
 
-/* The same with further fields. */
-void wp_http_call_with(WPHttp *h, const char *path, const WPHttpField *fields,
-                       size_t n_fields, const char *body, WPHttpDone done,
-                       GDestroyNotify drop, void *arg);
+/* Like wp_http_call(), with further header fields. */
+void wp_http_call_with_fields(WPHttp *h, const char *path,
+                              const WPHttpField *fields, size_t n_fields,
+                              const char *body, WPHttpDone done,
+                              GDestroyNotify drop, void *arg);
 
-/* The next call uses a new connection, as the present one may have fallen
-   silent without a sign. Calls under way end, from the loop, without an answer.
- */
-void wp_http_renew(WPHttp *h);
+/* Makes the next call use a new connection, as the present one may have failed
+   without notice. The `done` of calls in flight is called from the event loop,
+   with status 0. */
+void wp_http_reconnect(WPHttp *h);
 
-/* Whether calls are under way. */
+/* Returns whether calls are in flight. */
 bool wp_http_is_busy(const WPHttp *h);
 
-/* Splits host:port; returns false when it is malformed. */
-bool wp_http_target(const char *target, char **host, uint16_t *port);
+/* Splits host:port; `host` is freed with g_free(). Returns false if `target` is
+   malformed. */
+bool wp_http_parse_target(const char *target, char **host, uint16_t *port);
 
-/* Listens on addr:port; small pieces of answers leave at once. */
+/* Listens on addr:port, with TCP_NODELAY, so that short chunks are sent at
+   once. Returns false on failure. */
 bool wp_http_listen(struct evhttp *http, const char *addr, uint16_t port);
 
-/* Answers. */
-void wp_http_text(struct evhttp_request *r, int status, const char *type,
-                  WPStr body);
-void wp_http_json(struct evhttp_request *r, int status, json_t *o); /* eats o */
+/* Sends a response with a body of the given content type. */
+void wp_http_reply_text(struct evhttp_request *r, int status, const char *type,
+                        WPStr body);
 
-/* The value of a query parameter, or NULL; free with g_free(). */
-char *wp_http_query(struct evhttp_request *r, const char *name);
+/* Sends a response with a JSON body, and drops the reference to `o`. */
+void wp_http_reply_json(struct evhttp_request *r, int status, json_t *o);
 
-/* The body as JSON, or NULL. */
+/* Returns the value of a query parameter, or NULL; free with g_free(). */
+char *wp_http_query_param(struct evhttp_request *r, const char *name);
+
+/* Returns the parsed JSON body, or NULL if it is empty or invalid. */
 json_t *wp_http_body_json(struct evhttp_request *r);
+
+/* Returns the value of a request header, or NULL. */
 const char *wp_http_header(struct evhttp_request *r, const char *name);
 
 #endif
--- a/io/wp_kv_etcd.c
+++ b/io/wp_kv_etcd.c
@@ -237,7 +237,7 @@
     g_autofree char *rev = g_strdup_printf("%lu", (unsigned long)from);
     uint16_t port;
     etcd_unwatch(kv);
-    wp_http_target(e->targets[e->at], &host, &port);
+    wp_http_parse_target(e->targets[e->at], &host, &port);
     e->event = event;
     e->event_arg = arg;
     g_string_truncate(e->partial, 0);
@@ -282,7 +282,7 @@
         uint16_t port;
         e->targets[i] = g_strdup(targets[i]);
         e->n_targets++;
-        if (!wp_http_target(targets[i], &host, &port)) {
+        if (!wp_http_parse_target(targets[i], &host, &port)) {
             etcd_free(&e->kv);
             return NULL;
         }
--- a/io/wp_news.c
+++ b/io/wp_news.c
@@ -13,7 +13,7 @@
     snprintf(version, sizeof(version), "%lu", (unsigned long)t->version);
     if (!wp_direct_routes(&h->direct, t))
         return;
-    wp_front_limits(h->front, &h->direct.routes->limits);
+    wp_downstream_set_limits(h->front, &h->direct.routes->limits);
     wp_log(&h->log, WP_INFO, "routes", "version", version, NULL);
 }
 
--- a/io/wp_peers.c
+++ b/io/wp_peers.c
@@ -196,7 +196,7 @@
             g_ptr_array_add(p->seeds, g_strdup(s->seeds[i]));
     p->n_seeds = p->seeds->len;
     wp__member__init(&p->self);
-    if (!wp_http_target(s->peers, &p->host, &port)) {
+    if (!wp_http_parse_target(s->peers, &p->host, &port)) {
         g_set_error(error, WP_ERROR, WP_ERROR_INPUT,
                     "peers: expected HOST:PORT");
         wp_peers_free(p);
--- a/io/wp_relay_int.h
+++ b/io/wp_relay_int.h
@@ -1,5 +1,5 @@
-/* One request between a caller and the endpoints, as the parts of the relay
- * share it. */
+/* State of one request that is relayed between a caller and endpoints; shared
+ * by the parts of the relay. */
 #ifndef WP_RELAY_INT_H
 #define WP_RELAY_INT_H
 
@@ -9,43 +9,53 @@
 typedef struct WPRelay {
     WPList node;
     WPDirectHost *host;
-    WPPeer *peer;
+    WPDownstreamConn *downstream_conn;
     WPFlow *flow;
-    WPChannel *channel; /* of the leg under way */
-    struct event *expire, *patience;
+    WPUpstreamConn *upstream_conn; /* of the current attempt, or NULL */
+    struct event *deadline_timer;  /* the request's deadline, or the end of the
+                                      wait for routes */
+    struct event *first_byte_timer;
     WPStream stream;
-    uint64_t leg_from;     /* events that had come before this leg */
-    GByteArray *piece;     /* of events, on their way */
-    bool held;             /* until the routes are known */
-    bool begun;            /* the caller has the head of a stream */
-    int64_t begun_us;      /* since when; 0: not yet */
-    bool answer_streams;   /* the leg's answer is a stream */
-    bool streaming;        /* and is passed on as it comes */
-    WPDirectAnswer answer; /* the leg's, decoded */
-    GString *fields;       /* that reach the caller */
-    GByteArray *body;
-    GString *legs;       /* for the log */
-    int64_t list_age_ms; /* how old what the last leg's choice knew of the list
-                            was */
+    uint64_t events_before_attempt; /* stream events received before the current
+                                       attempt */
+    GByteArray *forward_buffer;     /* events that are being forwarded */
+    bool awaits_routes;             /* held until the routes are known */
+    bool stream_begun;       /* the caller has the head of a streamed answer */
+    int64_t stream_begun_us; /* when it was sent; 0: not yet */
+    bool answer_streams;     /* the attempt's answer is a stream */
+    bool forwards_stream;    /* the stream is forwarded as it arrives */
+    WPDirectAnswer answer;   /* decoded head of the attempt's answer */
+    GString *fields;         /* header lines that are forwarded to the caller */
+    GByteArray *body;        /* body of an answer that is buffered whole */
+    GString *attempts_text;  /* log field "legs": all attempts so far */
+    int64_t registry_age_ms; /* age of this box's copy of the endpoint registry
+                                when the last attempt's endpoint was chosen */
 } WPRelay;
 
-/* wp_relay_log.c: the line of a request, with what decided it. */
+/* wp_relay_log.c: writes the log line of a request that has ended. `outcome` is
+   "ok", an error code or another reason; `status` is the HTTP status sent to
+   the caller, 0 if none. */
 void wp_relay_log_end(WPRelay *r, const char *outcome, int status);
 
-/* What an answer's head told of its endpoint, where that is new. */
-void wp_relay_log_heard(WPRelay *r, const WPReplica *s, const WPHeard *h);
-
-/* The request is refused for what bars endpoints for a while. */
-void wp_relay_note_barred(WPRelay *r, const WPMove *m);
-
-/* The connection to an endpoint has ended under the request. */
-void wp_relay_log_ended(WPRelay *r, const char *endpoint);
-
-/* The part of that line for each leg: why, where, how loaded that was believed
-   to be and how old the belief was, what it was believed to have to read, and
-   the first byte's time foretold from that; then the head of its answer, and
-   how it ended. */
-void wp_relay_note_leg(WPRelay *r, const WPMove *m, WPTime now);
+/* Logs the changes of the state of endpoint `s` that the head of its answer
+   reported. */
+void wp_relay_log_head_changes(WPRelay *r, const WPReplica *s,
+                               const WPHeard *h);
+
+/* Appends to the log line why the request is refused: the endpoint that was
+   closest to eligible, and its temporary exclusion. */
+void wp_relay_note_excluded(WPRelay *r, const WPMove *m);
+
+/* Logs that the connection to an endpoint was lost while it ran the request. */
+void wp_relay_log_connection_lost(WPRelay *r, const char *endpoint);
+
+/* These append to the log line of the request, for each attempt:
+   - when it is sent: its reason and endpoint, the endpoint's load as this box
+     knew it and the age of that report, the estimated tokens of uncached
+     prompt, and the time to first byte predicted from that;
+   - the head of its answer;
+   - the way it ended. */
+void wp_relay_note_attempt(WPRelay *r, const WPMove *m, WPTime now);
 void wp_relay_note_answer(WPRelay *r);
 void wp_relay_note_result(WPRelay *r, const char *how);
 
--- a/io/wp_reply.c
+++ b/io/wp_reply.c
@@ -1,4 +1,4 @@
-/* Answers and refusals towards callers. */
+/* Sends answers and errors to callers. */
 #include "wp_server_int.h"
 
 #include <event2/buffer.h>
@@ -6,7 +6,8 @@
 
 #define MS_PER_S 1000
 
-static void add(struct evhttp_request *r, const char *name, const char *value)
+static void add_header(struct evhttp_request *r, const char *name,
+                       const char *value)
 {
     evhttp_add_header(evhttp_request_get_output_headers(r), name, value);
 }
@@ -30,43 +31,43 @@
                     uint32_t retry_ms, const char *detail)
 {
     const WPCodeInfo *info = wp_code_info(code);
-    add(r, WP_H_RAN, wp_ran_name(info->ran));
+    add_header(r, WP_H_RAN, wp_ran_name(info->ran));
     if (q)
-        add(r, WP_H_REQUEST, q->id);
+        add_header(r, WP_H_REQUEST_ID, q->id);
     if (retry_ms) {
         g_autofree char *s =
             g_strdup_printf("%u", (retry_ms + MS_PER_S - 1) / MS_PER_S);
         g_autofree char *ms = g_strdup_printf("%u", retry_ms);
-        add(r, "Retry-After", s);
-        add(r, "retry-after-ms", ms);
+        add_header(r, "Retry-After", s);
+        add_header(r, "retry-after-ms", ms);
     }
-    /* Client libraries try again by themselves; not what may have run, and
-       not what no time will mend. */
+    /* Client libraries retry by themselves. They must not retry a request that
+       may have run, or an error that waiting will not resolve. */
     if (info->ran != WP_RAN_NOT_RUN || !retry_ms)
-        add(r, "x-should-retry", "false");
-    wp_http_json(r, info->status, error_json(code, retry_ms, detail, q));
+        add_header(r, "x-should-retry", "false");
+    wp_http_reply_json(r, info->status, error_json(code, retry_ms, detail, q));
 }
 
 static void add_answer_headers(WPExchange *x)
 {
     const WPRequest *q = x->request;
-    add(x->http, "Content-Type",
-        x->answer_type ? x->answer_type : "application/json");
-    add(x->http, WP_H_REQUEST, q->id);
-    add(x->http, WP_H_VERSION, q->version);
-    add(x->http, WP_H_RAN, "ran");
+    add_header(x->http, "Content-Type",
+               x->answer_type ? x->answer_type : "application/json");
+    add_header(x->http, WP_H_REQUEST_ID, q->id);
+    add_header(x->http, WP_H_VERSION, q->version);
+    add_header(x->http, WP_H_RAN, "ran");
     if (q->moved)
-        add(x->http, WP_H_MOVED, "true");
+        add_header(x->http, WP_H_SESSION_MOVED, "true");
     if (!q->token)
         return;
     g_autofree char *cookie = g_strdup_printf(
-        WP_COOKIE "=%s; Path=/; HttpOnly; SameSite=Lax", q->token);
-    add(x->http, WP_H_TOKEN, q->token);
-    add(x->http, "Set-Cookie", cookie);
+        WP_SESSION_COOKIE "=%s; Path=/; HttpOnly; SameSite=Lax", q->token);
+    add_header(x->http, WP_H_SESSION_TOKEN, q->token);
+    add_header(x->http, "Set-Cookie", cookie);
 }
 
-/* The caller has taken all that was passed on: the agent may send as much
-   again. */
+/* The caller has taken all bytes that were forwarded, so the agent is granted
+   as many again. */
 static void on_written(struct evhttp_connection *con, void *arg)
 {
     WPExchange *x = arg;
@@ -91,7 +92,9 @@
     evhttp_send_reply_chunk_with_cb(x->http, x->held, on_written, x);
 }
 
-static void let_go(WPExchange *x)
+/* Clears the exchange's reference to the evhttp request, and the callback for
+   its connection's end. */
+static void detach_http(WPExchange *x)
 {
     struct evhttp_connection *con = evhttp_request_get_connection(x->http);
     evhttp_connection_set_closecb(con, NULL, NULL);
@@ -105,17 +108,18 @@
         return;
     if (!x->replying) {
         add_answer_headers(x);
-        let_go(x);
+        detach_http(x);
         evhttp_send_reply(r, x->status, NULL, x->held);
         return;
     }
     wp_reply_pass_on(x);
-    let_go(x);
+    detach_http(x);
     evhttp_send_reply_end(r);
 }
 
-/* Part of the answer is out and the rest will not come. A stream ends with
-   an error event; anything else is cut, so that nobody takes it for whole. */
+/* Part of the answer has been sent and the rest will not arrive. A stream is
+   ended with an error event; for any other answer the connection is closed, so
+   that the caller does not take it for complete. */
 void wp_reply_broken(WPExchange *x, WPCode code)
 {
     struct evhttp_request *r = x->http;
@@ -124,7 +128,7 @@
         return;
     con = evhttp_request_get_connection(r);
     if (!x->stream) {
-        let_go(x);
+        detach_http(x);
         evhttp_connection_free(con);
         return;
     }
@@ -132,7 +136,7 @@
     char *text = json_dumps(o, JSON_COMPACT);
     evbuffer_add_printf(x->held, "data: %s\n\n", text);
     wp_reply_pass_on(x);
-    let_go(x);
+    detach_http(x);
     evhttp_send_reply_end(r);
     free(text);
     json_decref(o);
--- a/io/wp_reports.c
+++ b/io/wp_reports.c
@@ -127,9 +127,9 @@
     r->window = a->report->window;
     r->sent_us = now.mono_us;
     /* One that rested since the last window may have fallen silent. */
-    wp_http_renew(r->service);
-    wp_http_call_with(r->service, t.path, t.fields, WP_REPORT_FIELDS, t.body,
-                      on_sent, NULL, r);
+    wp_http_reconnect(r->service);
+    wp_http_call_with_fields(r->service, t.path, t.fields, WP_REPORT_FIELDS,
+                             t.body, on_sent, NULL, r);
     for (size_t i = 0; i < WP_REPORT_FIELDS; i++)
         g_free(t.fields[i].value);
     g_free(t.body);
--- a/io/wp_ask.c
+++ b/io/wp_request_parse.c
@@ -1,18 +1,21 @@
-/* Reads callers' requests. */
-#include "wp_ask.h"
+/* Parses callers' requests. */
+#include "wp_request_parse.h"
 
 #include <event2/buffer.h>
 #include <stdlib.h>
 
 #define SERVICE_PREFIX "/v1/services/"
 #define DEFAULT_KIND "default"
-#define DEFAULT_ANSWER_TOKENS 256
-#define PREFIX_BYTES 512 /* of the prompt, that decide where it is cached */
-#define BYTES_PER_TOKEN 4
-#define LABELS_MOST 16
-#define KEY_MOST 200
+#define DEFAULT_ANSWER_TOKENS 256 /* if the request gives no bound */
+/* Bytes of the prompt that are hashed to choose an endpoint that may have the
+   prompt cached. */
+#define PREFIX_BYTES 512
+#define BYTES_PER_TOKEN 4 /* estimate */
+#define LABELS_MAX 16
+#define IDEMPOTENCY_KEY_MAX 200
 
-const WPWorkspace *wp_ask_workspace(const WPPolicy *p, struct evhttp_request *r)
+const WPWorkspace *wp_request_workspace(const WPPolicy *p,
+                                        struct evhttp_request *r)
 {
     const char *auth = wp_http_header(r, "Authorization");
     if (!auth || g_ascii_strncasecmp(auth, "Bearer ", 7))
@@ -22,7 +25,8 @@
     return wp_policy_by_key(p, digest);
 }
 
-/* key=value,key=value; false when it is malformed. */
+/* Parses "key=value,key=value" into `out`. Returns false if the text is
+   malformed or has more than LABELS_MAX labels. */
 static bool read_labels(const char *text, WPLabels *out)
 {
     WPStr rest = wp_str(text);
@@ -31,35 +35,35 @@
         WPStr value = pair;
         WPStr key = wp_str_trim(wp_str_cut(&value, '='));
         value = wp_str_trim(value);
-        if (!key.n || !value.n || wp_labels_count(out) >= LABELS_MOST)
+        if (!key.n || !value.n || wp_labels_count(out) >= LABELS_MAX)
             return false;
         wp_labels_set(out, key, value);
     }
     return true;
 }
 
-static char *read_cookie(struct evhttp_request *r)
+static char *read_session_cookie(struct evhttp_request *r)
 {
     const char *cookies = wp_http_header(r, "Cookie");
     WPStr rest = wp_str(cookies);
     while (rest.n) {
         WPStr value = wp_str_trim(wp_str_cut(&rest, ';'));
         WPStr name = wp_str_cut(&value, '=');
-        if (wp_str_eq(name, wp_str(WP_COOKIE)))
+        if (wp_str_eq(name, wp_str(WP_SESSION_COOKIE)))
             return g_strndup(value.p, value.n);
     }
     return NULL;
 }
 
 static WPCode read_headers(const WPPolicy *p, struct evhttp_request *r,
-                           WPAskText *out, const char **detail)
+                           WPParsedRequest *out, const char **detail)
 {
     const char *labels = wp_http_header(r, WP_H_LABELS);
     const char *deadline = wp_http_header(r, WP_H_DEADLINE);
-    const char *once = wp_http_header(r, WP_H_ONCE);
-    const char *token = wp_http_header(r, WP_H_TOKEN);
-    WPAsk *a = &out->ask;
-    a->workspace = wp_ask_workspace(p, r);
+    const char *idempotency_key = wp_http_header(r, WP_H_IDEMPOTENCY_KEY);
+    const char *token = wp_http_header(r, WP_H_SESSION_TOKEN);
+    WPAsk *a = &out->params;
+    a->workspace = wp_request_workspace(p, r);
     if (!a->workspace)
         return WP_NO_KEY;
     if (labels) {
@@ -78,14 +82,14 @@
         }
         a->deadline_ms = (uint32_t)ms;
     }
-    if (once && strlen(once) > KEY_MOST) {
-        *detail = WP_H_ONCE ": too long";
+    if (idempotency_key && strlen(idempotency_key) > IDEMPOTENCY_KEY_MAX) {
+        *detail = WP_H_IDEMPOTENCY_KEY ": too long";
         return WP_BAD_REQUEST;
     }
-    a->once_key = wp_str(once);
+    a->once_key = wp_str(idempotency_key);
     a->session_id = wp_str(wp_http_header(r, WP_H_SESSION));
     if (!token)
-        token = out->token = read_cookie(r);
+        token = out->cookie_token = read_session_cookie(r);
     a->session_token = wp_str(token);
     return WP_OK;
 }
@@ -102,7 +106,9 @@
     return a->kind != NULL;
 }
 
-/* Bytes of all messages, and a hash of the first of them. */
+/* Estimates the prompt's tokens from the bytes of all messages, and hashes the
+   messages that begin within the first PREFIX_BYTES (of each, PREFIX_BYTES at
+   most). */
 static void read_messages(const json_t *messages, WPAsk *a)
 {
     size_t i, bytes = 0;
@@ -121,17 +127,17 @@
 
 static uint32_t answer_tokens(const json_t *body)
 {
-    json_t *most = json_object_get(body, "max_completion_tokens");
-    if (!most)
-        most = json_object_get(body, "max_tokens");
-    json_int_t n = json_integer_value(most);
+    json_t *limit = json_object_get(body, "max_completion_tokens");
+    if (!limit)
+        limit = json_object_get(body, "max_tokens");
+    json_int_t n = json_integer_value(limit);
     return n > 0 && n < UINT32_MAX ? (uint32_t)n : DEFAULT_ANSWER_TOKENS;
 }
 
-WPCode wp_ask_chat(const WPPolicy *p, struct evhttp_request *r, WPAskText *out,
-                   const char **detail)
+WPCode wp_request_parse_chat(const WPPolicy *p, struct evhttp_request *r,
+                             WPParsedRequest *out, const char **detail)
 {
-    WPAsk *a = &out->ask;
+    WPAsk *a = &out->params;
     WPCode code = read_headers(p, r, out, detail);
     if (code != WP_OK)
         return code;
@@ -157,10 +163,10 @@
     return WP_OK;
 }
 
-WPCode wp_ask_service(const WPPolicy *p, struct evhttp_request *r,
-                      WPAskText *out, const char **detail)
+WPCode wp_request_parse_service(const WPPolicy *p, struct evhttp_request *r,
+                                WPParsedRequest *out, const char **detail)
 {
-    WPAsk *a = &out->ask;
+    WPAsk *a = &out->params;
     const char *uri = evhttp_request_get_uri(r);
     const char *name = uri + strlen(SERVICE_PREFIX);
     const char *rest = strpbrk(name, "/?");
@@ -179,29 +185,30 @@
     return WP_OK;
 }
 
-WPCode wp_ask_query(const WPPolicy *p, struct evhttp_request *r, WPAskText *out)
+WPCode wp_request_parse_query(const WPPolicy *p, struct evhttp_request *r,
+                              WPParsedRequest *out)
 {
-    g_autofree char *ws = wp_http_query(r, "workspace");
-    g_autofree char *kind = wp_http_query(r, "kind");
-    g_autofree char *labels = wp_http_query(r, "labels");
-    out->ask.workspace = ws ? wp_policy_workspace(p, ws) : NULL;
-    out->ask.kind = kind ? wp_policy_kind(p, kind) : NULL;
-    out->ask.answer_tokens = DEFAULT_ANSWER_TOKENS;
-    if (!out->ask.workspace || !out->ask.kind)
+    g_autofree char *ws = wp_http_query_param(r, "workspace");
+    g_autofree char *kind = wp_http_query_param(r, "kind");
+    g_autofree char *labels = wp_http_query_param(r, "labels");
+    out->params.workspace = ws ? wp_policy_workspace(p, ws) : NULL;
+    out->params.kind = kind ? wp_policy_kind(p, kind) : NULL;
+    out->params.answer_tokens = DEFAULT_ANSWER_TOKENS;
+    if (!out->params.workspace || !out->params.kind)
         return WP_UNKNOWN_MODEL;
     if (labels) {
-        out->ask.labels = wp_labels_new();
-        if (!read_labels(labels, out->ask.labels))
+        out->params.labels = wp_labels_new();
+        if (!read_labels(labels, out->params.labels))
             return WP_BAD_REQUEST;
     }
     return WP_OK;
 }
 
-void wp_ask_end(WPAskText *a)
+void wp_parsed_request_end(WPParsedRequest *a)
 {
-    wp_labels_free(a->ask.labels);
+    wp_labels_free(a->params.labels);
     json_decref(a->body);
-    g_free(a->token);
+    g_free(a->cookie_token);
     g_free(a->service);
     g_free(a->path);
 }
--- a/io/wp_steer.c
+++ b/io/wp_rollout_control.c
@@ -1,12 +1,13 @@
-/* Carries roll-outs on and stops bad versions, on the few entries whose turn
- * it is. Each step is a change that holds only at the revision it was decided
- * on: whoever comes late, or back from a pause, loses. */
+/* Advances roll-outs and withdraws bad versions, on the designated entries of a
+ * zone. Each step is a configuration change that is conditional on the revision
+ * it was decided for, so the write of an entry that is late or was paused
+ * fails. */
 #include "wp_change.h"
 #include "wp_guard.h"
 #include "wp_server_int.h"
 
-#define STEER_US (500 * WP_US_PER_MS)
-#define STEERERS 1 /* per zone */
+#define CONTROL_INTERVAL_US (500 * WP_US_PER_MS)
+#define DESIGNATED_PER_ZONE 1 /* entries that control roll-outs, per zone */
 
 static void on_written(void *arg, WPChangeResult result, uint64_t revision,
                        const char *author)
@@ -19,7 +20,10 @@
         wp_count(wp_node_counters(wp_host_node(s->host)), WP_C_ROLLOUT_STEPS);
 }
 
-static GPtrArray *next_step(WPServer *s, WPTime now, char **why, bool *stop)
+/* Returns the operations of the next step, or NULL if none is due; sets `why`
+   to its reason (free with g_free()) and `stop` if it withdraws a bad version.
+   The result is freed with wp_ops_free(). */
+static GPtrArray *next_ops(WPServer *s, WPTime now, char **why, bool *stop)
 {
     WPPolicy *p = wp_entry_policy(s->entry);
     const WPQuality *q = wp_node_quality(wp_host_node(s->host));
@@ -40,12 +44,12 @@
     if (now.mono_us < s->rollout_due_us || s->rollout_writing || !kv ||
         !wp_node_ready(n) || !wp_entry_policy(s->entry))
         return;
-    s->rollout_due_us = now.mono_us + STEER_US;
+    s->rollout_due_us = now.mono_us + CONTROL_INTERVAL_US;
     wp_rollout_monitor_poll(&s->watch, wp_entry_policy(s->entry),
                             wp_node_quality(n), now);
-    if (!wp_node_is_designated_entry(n, STEERERS))
+    if (!wp_node_is_designated_entry(n, DESIGNATED_PER_ZONE))
         return;
-    GPtrArray *ops = next_step(s, now, &why, &stop);
+    GPtrArray *ops = next_ops(s, now, &why, &stop);
     if (!ops)
         return;
     if (stop)
--- a/io/wp_runner.c
+++ b/io/wp_runner.c
@@ -346,7 +346,8 @@
     wp_list_init(&r->jobs);
     g_queue_init(&r->idle);
     g_queue_init(&r->dead);
-    if (!wp_http_target(s->endpoint, &r->endpoint_host, &r->endpoint_port)) {
+    if (!wp_http_parse_target(s->endpoint, &r->endpoint_host,
+                              &r->endpoint_port)) {
         g_set_error(error, WP_ERROR, WP_ERROR_INPUT,
                     "endpoint: expected HOST:PORT");
         g_free(r);
--- a/io/wp_server.c
+++ b/io/wp_server.c
@@ -37,7 +37,7 @@
 }
 
 static WPExchange *new_exchange(WPServer *s, struct evhttp_request *r,
-                                WPAskText *text)
+                                WPParsedRequest *text)
 {
     WPExchange *x = g_new0(WPExchange, 1);
     x->server = s;
@@ -86,27 +86,27 @@
 }
 
 typedef WPCode (*ReadFn)(const WPPolicy *p, struct evhttp_request *r,
-                         WPAskText *out, const char **detail);
+                         WPParsedRequest *out, const char **detail);
 
 static void serve(WPServer *s, struct evhttp_request *r, ReadFn read)
 {
-    WPAskText text = { 0 };
+    WPParsedRequest text = { 0 };
     const char *detail = NULL;
     WPStep step;
     WPCode code = can_serve(s);
     if (code == WP_OK)
         code = read(wp_entry_policy(s->entry), r, &text, &detail);
     if (refuse_early(s, r, code, detail)) {
-        wp_ask_end(&text);
+        wp_parsed_request_end(&text);
         return;
     }
     WPTime now = now_of(s);
     WPExchange *x = new_exchange(s, r, &text);
-    x->request = wp_entry_begin(s->entry, now, &text.ask, &step);
-    text.ask.labels = NULL; /* the request has taken them over */
+    x->request = wp_entry_begin(s->entry, now, &text.params, &step);
+    text.params.labels = NULL; /* the request has taken them over */
     wp_histogram_add(&wp_node_counters(wp_host_node(s->host))->decision,
                      now_of(s).mono_us - now.mono_us);
-    wp_ask_end(&text);
+    wp_parsed_request_end(&text);
     wp_exchange_do(x, step);
     wp_host_pump(s->host);
 }
@@ -122,7 +122,7 @@
 static void list_models(WPServer *s, struct evhttp_request *r)
 {
     WPPolicy *p = wp_entry_policy(s->entry);
-    const WPWorkspace *ws = p ? wp_ask_workspace(p, r) : NULL;
+    const WPWorkspace *ws = p ? wp_request_workspace(p, r) : NULL;
     WPVersionSet any = { 0 };
     if (refuse_early(s, r, p ? ws ? WP_OK : WP_NO_KEY : WP_NOT_READY, NULL))
         return;
@@ -142,8 +142,8 @@
         if (wp_version_set_has(&any, i))
             add_model(list, v->name, v->model ? v->model : "");
     }
-    wp_http_json(r, 200,
-                 json_pack("{s:s,s:o}", "object", "list", "data", list));
+    wp_http_reply_json(r, 200,
+                       json_pack("{s:s,s:o}", "object", "list", "data", list));
 }
 
 static void on_request(struct evhttp_request *r, void *arg)
@@ -157,14 +157,15 @@
     if (!strcmp(path, "/v1/models"))
         list_models(s, r);
     else if (!strcmp(path, "/v1/chat/completions"))
-        serve(s, r, wp_ask_chat);
+        serve(s, r, wp_request_parse_chat);
     else if (g_str_has_prefix(path, SERVICES) && path[strlen(SERVICES)])
-        serve(s, r, wp_ask_service);
+        serve(s, r, wp_request_parse_service);
     else
-        wp_http_json(r, 404,
-                     json_pack("{s:{s:s,s:s,s:s,s:s}}", "error", "message",
-                               "no such path", "type", "invalid_request_error",
-                               "code", "not_found", "ran", "not_run"));
+        wp_http_reply_json(r, 404,
+                           json_pack("{s:{s:s,s:s,s:s,s:s}}", "error",
+                                     "message", "no such path", "type",
+                                     "invalid_request_error", "code",
+                                     "not_found", "ran", "not_run"));
 }
 
 static void role_refresh(void *role, WPTime now)
@@ -246,23 +247,23 @@
 static bool role_admin(void *role, struct evhttp_request *r, const char *path)
 {
     WPServer *s = role;
-    WPAskText text = { 0 };
+    WPParsedRequest text = { 0 };
     if (strcmp(path, "/v1/why"))
         return false;
     WPCode code = can_serve(s);
     if (code == WP_OK)
-        code = wp_ask_query(wp_entry_policy(s->entry), r, &text);
+        code = wp_request_parse_query(wp_entry_policy(s->entry), r, &text);
     if (code != WP_OK) {
         wp_reply_error(r, NULL, code, 0, NULL);
     } else {
-        GPtrArray *lines = wp_entry_why(s->entry, now_of(s), &text.ask);
+        GPtrArray *lines = wp_entry_why(s->entry, now_of(s), &text.params);
         json_t *list = json_array();
         for (guint i = 0; i < lines->len; i++)
             json_array_append_new(list, json_string(lines->pdata[i]));
         g_ptr_array_unref(lines);
-        wp_http_json(r, 200, list);
+        wp_http_reply_json(r, 200, list);
     }
-    wp_ask_end(&text);
+    wp_parsed_request_end(&text);
     return true;
 }
 
--- a/io/wp_server_int.h
+++ b/io/wp_server_int.h
@@ -2,7 +2,7 @@
 #ifndef WP_SERVER_INT_H
 #define WP_SERVER_INT_H
 
-#include "wp_ask.h"
+#include "wp_request_parse.h"
 #include "wp_code.h"
 #include "wp_rollout.h"
 #include "wp_server.h"
--- /dev/null
+++ b/io/wp_store_writer.c
@@ -0,0 +1,215 @@
+/* Writes this box's records to the store: the addresses of boxes, and the steps
+ * of shifts between versions. Each write is conditional on the key being
+ * unchanged since it was read, so a late writer always fails. */
+#include "wp_sync_int.h"
+
+enum {
+    RETRY_MS = 600, /* from the result of a write, or its failure, to the next
+                       write */
+    /* Boxes write the same record at random times, spread over this much time
+       per box (SPREAD_MAX_MS in all at most), so that most boxes find it
+       already written. */
+    SPREAD_PER_BOX_MS = 40,
+    SPREAD_MAX_MS = 1000,
+    /* Between polls for boxes without a record; up to twice as long with
+       jitter. Boxes that start together are then written together. */
+    BOXES_INTERVAL_MS = 400,
+    /* A transaction has at most 32 items, by the platform's rules, and each box
+       takes two: a condition and a value. */
+    BOXES_PER_TXN = 16
+};
+
+static void on_written(void *arg, const WPKvResult *r)
+{
+    WPSync *s = arg;
+    WPTime now = wp_clock_now(0);
+    s->writing = false;
+    if (!r->ok) {
+        wp_count(&s->host->direct.counters, WP_C_STORE_ERRORS);
+        s->write_after_us = now.mono_us + (int64_t)RETRY_MS * WP_US_PER_MS;
+        return;
+    }
+    /* The present values are applied like those that other boxes write. */
+    for (size_t i = 0; i < r->n_items; i++)
+        wp_news_take(s, r->items[i].key.p, &r->items[i].value,
+                     r->items[i].mod_revision, false);
+    /* The watch will report what was written; until then the write is not
+       repeated. */
+    s->write_after_us = now.mono_us + (int64_t)RETRY_MS * WP_US_PER_MS;
+}
+
+static void write_txn(WPSync *s, const WPKvCompare *compares, size_t n_compares,
+                      const WPKvOp *ops, size_t n)
+{
+    s->writing = true;
+    wp_count(&s->host->direct.counters, WP_C_STORE_WRITES);
+    s->kv->ops->txn(s->kv, compares, n_compares, ops, n, on_written, s);
+}
+
+/* Returns the condition that a key is unchanged since this box read it. */
+static WPKvCompare unchanged_since_read(const WPSync *s, const char *key)
+{
+    return (WPKvCompare){ key, wp_mirror_key_revision(s->mirror, key) };
+}
+
+/* Writes the next state of a shift and logs it with the reason `why`. The write
+   is conditional on the order that the step was decided for: otherwise a late
+   write by a box that was paused could end the next shift. */
+static void write_shift(WPSync *s, const WPShift *sh, WPShiftState state,
+                        WPTime now, const char *why)
+{
+    const WPPlatformOps *platform = s->host->platform;
+    g_autofree char *order_key = platform->order_key(sh->service);
+    g_autofree char *key = platform->outcome_key(sh->service);
+    g_autofree char *started_key = g_strconcat(WP_KEY_BEGAN, sh->service, NULL);
+    g_autofree char *text = platform->outcome_text(sh, state);
+    g_autofree char *started =
+        g_strdup_printf("%lu", (unsigned long)sh->revision);
+    const WPKvCompare compares[] = { { order_key, sh->revision },
+                                     unchanged_since_read(s, key),
+                                     unchanged_since_read(s, started_key) };
+    const WPKvOp ops[] = { { key, wp_str(text), false },
+                           { started_key, wp_str(started), false } };
+    g_autofree char *stats = wp_shift_stats_text(sh, now);
+    wp_count(&s->host->direct.counters, WP_C_ROLLOUT_STEPS);
+    wp_log(&s->host->log, WP_INFO, "move_step", "service", sh->service,
+           "version", sh->version, "state", wp_shift_state_name(state), "why",
+           why ? why : "ordered", "figures", stats, NULL);
+    write_txn(s, compares, WP_COUNT(compares), ops, WP_COUNT(ops));
+}
+
+/* Whether this box is due to write a step of a shift. Each box waits for a
+   random time, so most boxes find the record written by then. */
+static bool is_write_due(WPSync *s, const WPShift *sh, WPShiftState state,
+                         WPTime now)
+{
+    g_autofree char *step = g_strdup_printf(
+        "%s %lu %d", sh->service, (unsigned long)sh->revision, (int)state);
+    int64_t *due = g_hash_table_lookup(s->turns, step);
+    if (!due) {
+        double spread =
+            MIN(SPREAD_PER_BOX_MS * wp_peers_known(s->peers), SPREAD_MAX_MS);
+        double wait_ms = spread * g_rand_double(s->host->direct.rand);
+        due = g_new(int64_t, 1);
+        *due = now.mono_us + (int64_t)(wait_ms * WP_US_PER_MS);
+        g_hash_table_insert(s->turns, g_steal_pointer(&step), due);
+    }
+    return now.mono_us >= *due;
+}
+
+static bool may_write(const WPSync *s, WPTime now)
+{
+    return (s->up || !s->tried) && !s->writing &&
+           now.mono_us >= s->write_after_us;
+}
+
+/* Logs why a shift waits, when the reason has changed. */
+static void log_wait_reason(WPSync *s, WPShift *sh, WPTime now)
+{
+    const char *old = sh->logged_wait_reason;
+    sh->logged_wait_reason = sh->wait_reason;
+    if (!sh->wait_reason || sh->wait_reason == old)
+        return;
+    g_autofree char *stats = wp_shift_stats_text(sh, now);
+    wp_count(&s->host->direct.counters, WP_C_MOVE_WAITS);
+    wp_log(&s->host->log, WP_INFO, "move_waits", "service", sh->service,
+           "version", sh->version, "why", sh->wait_reason, "figures", stats,
+           NULL);
+}
+
+/* Advances a running shift, and writes its next state when that is due. */
+static void advance_shift(void *arg, WPShift *sh)
+{
+    WPSync *s = arg;
+    WPTime now = wp_clock_now(0);
+    g_autofree char *why = NULL;
+    if (sh->state != WP_SHIFT_RUNNING)
+        return;
+    if (wp_shift_advance(s->host->direct.shifts, sh, now, &why)) {
+        wp_log(&s->host->log, WP_INFO, "move_stage", "service", sh->service,
+               "version", sh->version, "stage", sh->stage, "why", why, NULL);
+        wp_peers_announce(s->peers);
+        g_clear_pointer(&why, g_free);
+    }
+    WPShiftState due =
+        wp_shift_due_state(s->host->direct.shifts, sh, now, &why);
+    log_wait_reason(s, sh, now);
+    /* A bad version gets no more requests at once, whether or not the store
+       can be written. */
+    if (due == WP_SHIFT_ROLLED_BACK && !sh->found_bad) {
+        sh->found_bad = true;
+        wp_log(&s->host->log, WP_WARN, "version_bad", "service", sh->service,
+               "version", sh->version, "why", why, NULL);
+        wp_peers_announce(s->peers);
+    }
+    if (!may_write(s, now))
+        return;
+    bool begin = !wp_elapsed_started(&sh->elapsed);
+    if ((begin || due != WP_SHIFT_RUNNING) && is_write_due(s, sh, due, now))
+        write_shift(s, sh, due, now, why);
+}
+
+/* The box records that are written in one transaction. */
+typedef struct BoxRecords {
+    WPSync *sync;
+    WPKvCompare compares[BOXES_PER_TXN];
+    WPKvOp ops[BOXES_PER_TXN];
+    char *owned[2 * BOXES_PER_TXN];
+    size_t n;
+} BoxRecords;
+
+/* Adds a box's record to the transaction, unless the store has the same record
+   or, with `any`, any record of that box. */
+static void add_box_record(BoxRecords *b, const char *id, const char *addr,
+                           const char *zone, bool any)
+{
+    g_autofree char *key = g_strconcat(WP_KEY_BOX, id, NULL);
+    g_autofree char *text = g_strdup_printf("%s %s", addr, zone);
+    const WPMirrorItem *old = wp_mirror_get(b->sync->mirror, key);
+    gsize n = 0;
+    const char *value = old ? g_bytes_get_data(old->value, &n) : "";
+    bool same = old && wp_str_eq(wp_strn(value, n), wp_str(text));
+    if (same || (old && any) || b->n == BOXES_PER_TXN)
+        return;
+    b->compares[b->n] = unchanged_since_read(b->sync, key);
+    b->ops[b->n] = (WPKvOp){ key, wp_str(text), false };
+    b->owned[2 * b->n] = g_steal_pointer(&key);
+    b->owned[2 * b->n + 1] = g_steal_pointer(&text);
+    b->n++;
+}
+
+static void add_peer_record(void *arg, const char *id, const char *addr,
+                            const char *zone)
+{
+    add_box_record(arg, id, addr, zone, true);
+}
+
+/* Writes the addresses and zones of boxes. The designated box, if it reaches
+   the store, writes for all boxes that are connected to it. Boxes that have not
+   reached the store wait for that until `self_us`: when a hundred boxes start,
+   this takes four transactions instead of a hundred. */
+static void write_box_records(WPSync *s, WPTime now)
+{
+    const Wp__DirectSettings *set = s->host->settings;
+    BoxRecords b = { .sync = s };
+    if (now.mono_us < s->boxes_us || !may_write(s, now) || !s->complete ||
+        s->host->leaving)
+        return;
+    s->boxes_us =
+        now.mono_us +
+        (int64_t)(BOXES_INTERVAL_MS * (1 + s->fresh.jitter)) * WP_US_PER_MS;
+    if (s->up || now.mono_us >= s->self_us)
+        add_box_record(&b, set->id, set->peers, set->zone, false);
+    if (s->up && wp_peers_on_duty(s->peers, false))
+        wp_peers_each(s->peers, add_peer_record, &b);
+    if (b.n)
+        write_txn(s, b.compares, b.n, b.ops, b.n);
+    for (size_t i = 0; i < 2 * b.n; i++)
+        g_free(b.owned[i]);
+}
+
+void wp_record_tick(WPSync *s, WPTime now)
+{
+    wp_shifts_each(s->host->direct.shifts, advance_shift, s);
+    write_box_records(s, now);
+}
--- a/standins/engine.c
+++ b/standins/engine.c
@@ -133,13 +133,13 @@
 
 static void finish_plain(Run *r)
 {
-    wp_http_json(r->request, 200,
-                 json_pack("{s:s,s:s,s:i,s:s,s:[{s:i,s:{s:s,s:s},s:s}],s:o}",
-                           "id", r->id, "object", "chat.completion", "created",
-                           0, "model", r->version, "choices", "index", 0,
-                           "message", "role", "assistant", "content",
-                           r->text->str, "finish_reason", "stop", "usage",
-                           usage(r)));
+    wp_http_reply_json(
+        r->request, 200,
+        json_pack("{s:s,s:s,s:i,s:s,s:[{s:i,s:{s:s,s:s},s:s}],s:o}", "id",
+                  r->id, "object", "chat.completion", "created", 0, "model",
+                  r->version, "choices", "index", 0, "message", "role",
+                  "assistant", "content", r->text->str, "finish_reason", "stop",
+                  "usage", usage(r)));
 }
 
 static void give_token(Run *r)
@@ -280,7 +280,7 @@
     json_t *body = wp_http_body_json(req);
     const char *model = json_string_value(json_object_get(body, "model"));
     if (!model || e->refuse) {
-        wp_http_json(req, e->refuse ? 503 : 400, json_object());
+        wp_http_reply_json(req, e->refuse ? 503 : 400, json_object());
         json_decref(body);
         return;
     }
@@ -316,7 +316,7 @@
 
 static void on_ledger(struct evhttp_request *r, void *arg)
 {
-    wp_http_json(r, 200, json_incref(((Engine *)arg)->ledger));
+    wp_http_reply_json(r, 200, json_incref(((Engine *)arg)->ledger));
 }
 
 static void on_metrics(struct evhttp_request *r, void *arg)
@@ -327,7 +327,7 @@
         "engine_prefix_misses %lu\n",
         e->n_running, e->n_waiting, (unsigned long)e->hits,
         (unsigned long)e->misses);
-    wp_http_text(r, 200, "text/plain", wp_str(text));
+    wp_http_reply_text(r, 200, "text/plain", wp_str(text));
 }
 
 static void on_control(struct evhttp_request *r, void *arg)
@@ -341,7 +341,7 @@
     stand_set_bool(j, "refuse", &e->refuse);
     json_object_update(e->quality, json_object_get(j, "quality"));
     json_decref(j);
-    wp_http_json(r, 200, json_object());
+    wp_http_reply_json(r, 200, json_object());
 }
 
 void stand_engine(struct event_base *base, struct evhttp *http,
--- a/standins/kv.c
+++ b/standins/kv.c
@@ -247,7 +247,7 @@
     Slow *s = arg;
     (void)fd;
     (void)what;
-    wp_http_json(s->r, 200, s->answer);
+    wp_http_reply_json(s->r, 200, s->answer);
     event_free(s->timer);
     g_free(s);
 }
@@ -255,7 +255,7 @@
 static void answer(Kv *kv, struct evhttp_request *r, json_t *j)
 {
     if (kv->slow_ms <= 0) {
-        wp_http_json(r, 200, j);
+        wp_http_reply_json(r, 200, j);
         return;
     }
     Slow *s = g_new0(Slow, 1);
@@ -273,13 +273,13 @@
         return true; /* never answered */
     if (!kv->down)
         return false;
-    wp_http_json(r, 503, json_pack("{s:s}", "error", "unavailable"));
+    wp_http_reply_json(r, 503, json_pack("{s:s}", "error", "unavailable"));
     return true;
 }
 
 static void too_many(struct evhttp_request *r)
 {
-    wp_http_json(r, 429, json_pack("{s:s}", "error", "rate exceeded"));
+    wp_http_reply_json(r, 429, json_pack("{s:s}", "error", "rate exceeded"));
 }
 
 static void on_range(struct evhttp_request *r, void *arg)
@@ -373,12 +373,12 @@
     json_decref(j);
     if (kv->down || kv->silent)
         cut_watches(kv);
-    wp_http_json(r, 200,
-                 json_pack("{s:I,s:I,s:I,s:I}", "writes",
-                           (json_int_t)kv->writes, "reads",
-                           (json_int_t)kv->reads, "refused",
-                           (json_int_t)kv->refused, "revision",
-                           (json_int_t)kv->revision));
+    wp_http_reply_json(r, 200,
+                       json_pack("{s:I,s:I,s:I,s:I}", "writes",
+                                 (json_int_t)kv->writes, "reads",
+                                 (json_int_t)kv->reads, "refused",
+                                 (json_int_t)kv->refused, "revision",
+                                 (json_int_t)kv->revision));
 }
 
 void stand_kv(struct event_base *base, struct evhttp *http,
--- a/standins/platform.c
+++ b/standins/platform.c
@@ -56,7 +56,7 @@
     const char *id;
     json_object_foreach (b->shown, id, box)
         json_array_append(list, box);
-    wp_http_json(r, 200, json_pack("{s:o}", "boxes", list));
+    wp_http_reply_json(r, 200, json_pack("{s:o}", "boxes", list));
 }
 
 static void on_boxes_control(struct evhttp_request *r, void *arg)
@@ -65,7 +65,7 @@
     json_t *j = wp_http_body_json(r);
     stand_set_number(j, "lag_ms", &b->lag_ms);
     json_decref(j);
-    wp_http_json(r, 200, json_object());
+    wp_http_reply_json(r, 200, json_object());
 }
 
 void stand_boxes(struct event_base *base, struct evhttp *http,
@@ -141,7 +141,7 @@
                json_string_value(json_object_get(j, "version")),
                json_number_value(json_object_get(j, "score")));
     json_decref(j);
-    wp_http_json(r, 200, json_object());
+    wp_http_reply_json(r, 200, json_object());
 }
 
 /* An answer handed in to be rated: judged by its own words. */
@@ -154,7 +154,7 @@
                json_string_value(json_object_get(j, "version")),
                answer && strstr(answer, "good ") ? 1 : 0);
     json_decref(j);
-    wp_http_json(r, 200, json_object());
+    wp_http_reply_json(r, 200, json_object());
 }
 
 static void on_sums(struct evhttp_request *r, void *arg)
@@ -165,7 +165,7 @@
     fold_due(s);
     json_object_foreach (s->sums, key, sum)
         json_array_append(list, sum);
-    wp_http_json(
+    wp_http_reply_json(
         r, 200,
         json_pack("{s:I,s:o}", "seq", (json_int_t)s->seq, "sums", list));
 }
@@ -180,7 +180,7 @@
         good = !good;
     s->checks++;
     json_decref(j);
-    wp_http_json(r, 200, json_pack("{s:b}", "good", good));
+    wp_http_reply_json(r, 200, json_pack("{s:b}", "good", good));
 }
 
 static void on_ratings_control(struct evhttp_request *r, void *arg)
@@ -190,7 +190,8 @@
     stand_set_number(j, "lag_ms", &s->lag_ms);
     stand_set_number(j, "wrong_checks", &s->wrong_checks);
     json_decref(j);
-    wp_http_json(r, 200, json_pack("{s:I}", "checks", (json_int_t)s->checks));
+    wp_http_reply_json(r, 200,
+                       json_pack("{s:I}", "checks", (json_int_t)s->checks));
 }
 
 void stand_ratings(struct event_base *base, struct evhttp *http,
@@ -227,7 +228,7 @@
     Service *s = arg;
     const char *id = wp_http_header(r, "X-Request-Id");
     if (!strcmp(stand_path(r), "/ledger")) {
-        wp_http_json(r, 200, json_incref(s->ledger));
+        wp_http_reply_json(r, 200, json_incref(s->ledger));
         return;
     }
     if (!strcmp(stand_path(r), "/control")) {
@@ -236,11 +237,11 @@
         stand_set_bool(j, "refuse", &s->refuse);
         stand_set_bool(j, "cut", &s->cut);
         json_decref(j);
-        wp_http_json(r, 200, json_object());
+        wp_http_reply_json(r, 200, json_object());
         return;
     }
     if (s->refuse) {
-        wp_http_json(r, 503, json_object());
+        wp_http_reply_json(r, 503, json_object());
         return;
     }
     struct evbuffer *in = evhttp_request_get_input_buffer(r);
@@ -260,9 +261,9 @@
     if (s->cut)
         stand_cut(r);
     else if (!s->silent)
-        wp_http_json(r, 200,
-                     json_pack("{s:b,s:o}", "ok", true, "echo",
-                               json_stringn(body ? body : "", n)));
+        wp_http_reply_json(r, 200,
+                           json_pack("{s:b,s:o}", "ok", true, "echo",
+                                     json_stringn(body ? body : "", n)));
 }
 
 void stand_service(struct event_base *base, struct evhttp *http,
--- a/standins/pstore.c
+++ b/standins/pstore.c
@@ -117,9 +117,9 @@
     struct evhttp_request *r = w->request;
     uint64_t revision = w->store->revision;
     free_waiting(w);
-    wp_http_json(r, 200,
-                 json_pack("{s:o,s:I}", "events", events, "storeRevision",
-                           (json_int_t)revision));
+    wp_http_reply_json(r, 200,
+                       json_pack("{s:o,s:I}", "events", events, "storeRevision",
+                                 (json_int_t)revision));
 }
 
 static void wake(Store *s)
@@ -152,7 +152,7 @@
 
 static uint64_t number(struct evhttp_request *r, const char *name)
 {
-    g_autofree char *v = wp_http_query(r, name);
+    g_autofree char *v = wp_http_query_param(r, name);
     return v ? g_ascii_strtoull(v, NULL, 10) : 0;
 }
 
@@ -163,13 +163,13 @@
     struct timeval limit = { (time_t)(ms / WP_MS_PER_S),
                              (suseconds_t)(ms % WP_MS_PER_S * WP_US_PER_MS) };
     if (after < s->oldest) {
-        wp_http_json(r, 410, json_object());
+        wp_http_reply_json(r, 410, json_object());
         return;
     }
     Waiting *w = g_new0(Waiting, 1);
     w->store = s;
     w->request = r;
-    w->prefix = wp_http_query(r, "prefix");
+    w->prefix = wp_http_query_param(r, "prefix");
     w->prefix = w->prefix ? w->prefix : g_strdup("");
     w->after = after;
     w->timer = evtimer_new(s->base, on_watch_timer, w);
@@ -202,14 +202,14 @@
 
 static void range(Store *s, struct evhttp_request *r)
 {
-    g_autofree char *prefix = wp_http_query(r, "prefix");
-    g_autofree char *after = wp_http_query(r, "afterRev");
+    g_autofree char *prefix = wp_http_query_param(r, "prefix");
+    g_autofree char *after = wp_http_query_param(r, "afterRev");
     Pick p = { prefix ? prefix : "", after, json_array(), false };
     g_tree_foreach(s->items, pick, &p);
-    wp_http_json(r, 200,
-                 json_pack("{s:o,s:b,s:I}", "items", p.items, "truncated",
-                           p.truncated, "storeRevision",
-                           (json_int_t)s->revision));
+    wp_http_reply_json(r, 200,
+                       json_pack("{s:o,s:b,s:I}", "items", p.items, "truncated",
+                                 p.truncated, "storeRevision",
+                                 (json_int_t)s->revision));
 }
 
 static const char *text_of(const json_t *j, const char *name)
@@ -249,14 +249,14 @@
     const json_t *puts = json_object_get(j, "puts");
     size_t k;
     if (conflict) {
-        wp_http_json(r, 412, json_pack("{s:o}", "items", conflict));
+        wp_http_reply_json(r, 412, json_pack("{s:o}", "items", conflict));
         json_decref(j);
         return;
     }
     json_array_foreach (puts, k, one) {
         if (!is_foreign(text_of(one, "privateKey")))
             continue;
-        wp_http_json(r, 403, json_object());
+        wp_http_reply_json(r, 403, json_object());
         json_decref(j);
         return;
     }
@@ -269,8 +269,8 @@
     if (g_rand_double(s->rand) < s->lose_answers)
         stand_cut(r);
     else
-        wp_http_json(r, 200,
-                     json_pack("{s:I}", "revision", (json_int_t)s->revision));
+        wp_http_reply_json(
+            r, 200, json_pack("{s:I}", "revision", (json_int_t)s->revision));
     wake(s);
 }
 
@@ -321,21 +321,21 @@
         json_object_set_new(out, "value", json_string(i->value));
     json_decref(j);
     wake(s);
-    wp_http_json(r, 200, out);
+    wp_http_reply_json(r, 200, out);
 }
 
 static void item(Store *s, struct evhttp_request *r)
 {
-    g_autofree char *key = wp_http_query(r, "privateKey");
+    g_autofree char *key = wp_http_query_param(r, "privateKey");
     const Item *i = key ? g_tree_lookup(s->items, key) : NULL;
-    wp_http_json(r, i ? 200 : 404, i ? item_json(i) : json_object());
+    wp_http_reply_json(r, i ? 200 : 404, i ? item_json(i) : json_object());
 }
 
 /* Whether the store is down for this call; answers it then, or never does. */
 static bool is_down(Store *s, struct evhttp_request *r)
 {
     if (!strcmp(s->down, "busy"))
-        wp_http_json(r, 503, json_object());
+        wp_http_reply_json(r, 503, json_object());
     else if (!strcmp(s->down, "reset"))
         stand_cut(r);
     return *s->down != '\0'; /* silent: the caller waits in vain */
@@ -359,7 +359,7 @@
     else if (!strcmp(path, "/v1/kv-key"))
         item(s, r);
     else
-        wp_http_json(r, 404, json_object());
+        wp_http_reply_json(r, 404, json_object());
 }
 
 void stand_pstore(struct event_base *base, struct evhttp *http,
--- a/standins/replica.c
+++ b/standins/replica.c
@@ -149,7 +149,7 @@
     g_autofree char *body = g_strdup_printf("ran %s\n", n->id);
     add_head(r, n->to, n->id, true);
     end_run(n);
-    wp_http_text(r, status, "text/plain", wp_str(body));
+    wp_http_reply_text(r, status, "text/plain", wp_str(body));
 }
 
 static void send_event(Run *n)
@@ -326,7 +326,7 @@
         note_notice(p, "TOLD", left, id);
     add_each(h, PF_H_RETRY, left ? left : p->rest);
     add_head(r, p, id, false);
-    wp_http_text(r, 503, "text/plain", wp_str("rests"));
+    wp_http_reply_text(r, 503, "text/plain", wp_str("rests"));
 }
 
 static bool refuses(Replica *p, struct evhttp_request *r, const char *id)
@@ -342,7 +342,11 @@
     if (!other && !full && id)
         return false;
     add_head(r, p, id, false);
-    wp_http_text(r, other ? 421 : id ? 503 : 400, "text/plain", wp_str("no"));
+    wp_http_reply_text(r,
+                       other ? 421
+                       : id  ? 503
+                             : 400,
+                       "text/plain", wp_str("no"));
     return true;
 }
 
@@ -467,10 +471,11 @@
     g_hash_table_iter_init(&it, p->ids);
     while (g_hash_table_iter_next(&it, &id, &times))
         json_object_set_new(ids, id, json_integer(GPOINTER_TO_INT(times)));
-    wp_http_json(r, 200,
-                 json_pack("{s:s,s:o,s:f,s:f,s:f,s:i}", "id", p->id, "ids", ids,
-                           "ran", p->ran, "wrong", p->wrong, "keyless",
-                           p->keyless, "running", (int)p->running));
+    wp_http_reply_json(r, 200,
+                       json_pack("{s:s,s:o,s:f,s:f,s:f,s:i}", "id", p->id,
+                                 "ids", ids, "ran", p->ran, "wrong", p->wrong,
+                                 "keyless", p->keyless, "running",
+                                 (int)p->running));
 }
 
 static void on_request(struct evhttp_request *r, void *arg)
--- a/tests/test_held.c
+++ b/tests/test_held.c
@@ -2,7 +2,7 @@
  * that the test moves. */
 #include "free_port.h"
 #include "test.h"
-#include "wp_front.h"
+#include "wp_downstream.h"
 #include "wp_buffered.h"
 
 #include <arpa/inet.h>
@@ -23,7 +23,7 @@
 
 typedef struct World {
     struct event_base *base;
-    WPFront *front;
+    WPDownstream *front;
     WPBuffered held;
     WPTime now;
     char *answer;
@@ -31,21 +31,21 @@
     uint16_t port;
 } World;
 
-static void on_request(void *arg, WPPeer *p, const WPHead *h)
+static void on_request(void *arg, WPDownstreamConn *p, const WPHead *h)
 {
     World *w = arg;
     (void)h;
     w->requests++;
-    wp_front_answer(p, 200, wp_str(""), wp_strn(w->answer, ANSWER));
+    wp_downstream_send_answer(p, 200, wp_str(""), wp_strn(w->answer, ANSWER));
 }
 
-static void on_left(void *arg, WPPeer *p)
+static void on_left(void *arg, WPDownstreamConn *p)
 {
     (void)p;
     ((World *)arg)->left++;
 }
 
-static void on_drained(void *arg, WPPeer *p)
+static void on_drained(void *arg, WPDownstreamConn *p)
 {
     (void)arg;
     (void)p;
@@ -58,7 +58,8 @@
     ((World *)arg)->refused++;
 }
 
-static const WPFrontOps ops = { on_request, on_left, on_drained, on_refused };
+static const WPDownstreamOps ops = { on_request, on_left, on_drained,
+                                     on_refused };
 
 static void open_world(World *w, double memory_mb)
 {
@@ -70,14 +71,14 @@
     w->answer = g_malloc0(ANSWER);
     wp_buffered_set_limit(&w->held, memory_mb);
     g_autofree char *addr = g_strdup_printf("127.0.0.1:%u", w->port);
-    w->front = wp_front_new(w->base, addr, &ops, w, &error);
+    w->front = wp_downstream_new(w->base, addr, &ops, w, &error);
     assert_non_null(w->front);
-    wp_front_limits(w->front, &limits);
+    wp_downstream_set_limits(w->front, &limits);
 }
 
 static void close_world(World *w)
 {
-    wp_front_free(w->front);
+    wp_downstream_free(w->front);
     event_base_free(w->base);
     g_free(w->answer);
 }
@@ -102,11 +103,12 @@
     for (unsigned i = 0; i < TURNS; i++)
         event_base_loop(w->base, EVLOOP_NONBLOCK);
     w->now.mono_us += TICK_MS * WP_US_PER_MS;
-    if (wp_buffered_update(&w->held, wp_front_held(w->front, w->now)))
-        wp_front_hold(w->front, w->held.over_limit);
+    if (wp_buffered_update(&w->held,
+                           wp_downstream_poll_buffered(w->front, w->now)))
+        wp_downstream_set_over_limit(w->front, w->held.over_limit);
     if (w->held.over_limit)
-        w->cut +=
-            wp_front_cut_unread(w->front, w->now, WP_BUFFERED_READ_TIMEOUT_MS);
+        w->cut += wp_downstream_close_unread(w->front, w->now,
+                                             WP_BUFFERED_READ_TIMEOUT_MS);
 }
 
 static void ask(int fd)
@@ -203,13 +205,14 @@
         for (unsigned i = 0; i < SLOW; i++)
             send_some(fd[i], &left[i]);
         event_base_loop(w.base, EVLOOP_NONBLOCK);
-        if (wp_buffered_update(&w.held, wp_front_held(w.front, w.now)))
-            wp_front_hold(w.front, w.held.over_limit);
+        if (wp_buffered_update(&w.held,
+                               wp_downstream_poll_buffered(w.front, w.now)))
+            wp_downstream_set_over_limit(w.front, w.held.over_limit);
     }
     assert_true(w.held.over_limit);
     assert_true(w.held.bytes < w.held.limit_bytes + SLOW * PIECE);
     assert_int_equal(w.requests, 0);
-    wp_front_hold(w.front, false);
+    wp_downstream_set_over_limit(w.front, false);
     int64_t end_us = g_get_monotonic_time() + GUARD_MS * WP_US_PER_MS;
     while (w.requests < SLOW && g_get_monotonic_time() < end_us) {
         for (unsigned i = 0; i < SLOW; i++)
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -19,7 +19,7 @@
 static void on_ok(struct evhttp_request *r, void *arg)
 {
     (void)arg;
-    wp_http_text(r, 200, "text/plain", wp_str("ok"));
+    wp_http_reply_text(r, 200, "text/plain", wp_str("ok"));
 }
 
 static void on_done(void *arg, int status, WPStr body)
@@ -51,7 +51,7 @@
     WPHttp *h = wp_http_new(base, target, 10000);
     wp_http_call(h, "/silent", NULL, on_done, NULL, &silent);
     assert_true(wp_http_is_busy(h));
-    wp_http_renew(h);
+    wp_http_reconnect(h);
     assert_false(wp_http_is_busy(h));
     wp_http_call(h, "/ok", NULL, on_done, NULL, &ok);
     while (!ok.calls)
--- a/tests/test_reports.c
+++ b/tests/test_reports.c
@@ -25,7 +25,7 @@
     v->holder = g_strdup(wp_http_header(r, "X-Duty-Holder"));
     v->fence = g_strdup(wp_http_header(r, "X-Fence-Token"));
     v->report = wp_http_body_json(r);
-    wp_http_text(r, 200, "text/plain", wp_str(""));
+    wp_http_reply_text(r, 200, "text/plain", wp_str(""));
 }
 
 static char *open_service(Service *v, struct event_base *base)
--- a/tests/test_stream.c
+++ b/tests/test_stream.c
@@ -129,28 +129,28 @@
                            "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
                            "HTTP/1.1 200 OK\r\n",
                            false, &left),
-                     WP_H1_WHOLE);
+                     WP_H1_COMPLETE);
     assert_string_equal(g.body->str, "ok");
     assert_int_equal(left, strlen("HTTP/1.1 200 OK\r\n"));
     g_string_free(g.body, TRUE);
     /* Broken off: not whole, also when the connection ends well. */
     assert_int_equal(parse(&g, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nok",
                            true, &left),
-                     WP_H1_BAD);
+                     WP_H1_ERROR);
     g_string_free(g.body, TRUE);
     assert_int_equal(parse(&g,
                            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked"
                            "\r\n\r\n2\r\nok\r\n",
                            true, &left),
-                     WP_H1_BAD);
+                     WP_H1_ERROR);
     g_string_free(g.body, TRUE);
     /* Without a length it ends with the connection. */
     assert_int_equal(parse(&g, "HTTP/1.1 200 OK\r\n\r\nok", true, &left),
-                     WP_H1_WHOLE);
+                     WP_H1_COMPLETE);
     assert_true(g.until_close);
     g_string_free(g.body, TRUE);
     assert_int_equal(parse(&g, "\001\002 no answer\r\n\r\n", false, &left),
-                     WP_H1_BAD);
+                     WP_H1_ERROR);
     g_string_free(g.body, TRUE);
 }
 
--- a/tools/load.c
+++ b/tools/load.c
@@ -1,6 +1,6 @@
 /* The load generator. */
 #include "load_int.h"
-#include "wp_ask.h"
+#include "wp_request_parse.h"
 #include "wp_pb.h"
 
 #include <event2/buffer.h>
@@ -104,8 +104,8 @@
         l->targets[i].well = true;
         l->targets[i].health =
             wp_http_new(l->base, entries[i], HEALTH_TIMEOUT_MS);
-        if (!wp_http_target(entries[i], &l->targets[i].host,
-                            &l->targets[i].port))
+        if (!wp_http_parse_target(entries[i], &l->targets[i].host,
+                                  &l->targets[i].port))
             return false;
     }
     return n > 0;
@@ -289,12 +289,12 @@
                           const char *version)
 {
     Session *s = c->session;
-    const char *token = wp_http_header(r, WP_H_TOKEN);
+    const char *token = wp_http_header(r, WP_H_SESSION_TOKEN);
     if (!s)
         return;
     s->busy = false;
     if (s->version && strcmp(s->version, version)) {
-        if (wp_http_header(r, WP_H_MOVED))
+        if (wp_http_header(r, WP_H_SESSION_MOVED))
             c->load->r.session_moves++;
         else
             c->load->r.session_breaks++;
@@ -426,7 +426,7 @@
         /* evhttp still works on the connection: it is freed at the end. */
         g_queue_push_head(&c->target->failed, con);
     } else {
-        const char *id = wp_http_header(r, WP_H_REQUEST);
+        const char *id = wp_http_header(r, WP_H_REQUEST_ID);
         const char *ran = wp_http_header(r, WP_H_RAN);
         g_strlcpy(c->fate.request_id, id ? id : "", sizeof(c->fate.request_id));
         g_strlcpy(c->fate.ran, ran ? ran : "", sizeof(c->fate.ran));
@@ -462,9 +462,9 @@
     evhttp_add_header(h, WP_H_DEADLINE, deadline);
     evhttp_add_header(h, "Content-Type", "application/json");
     if (c->once)
-        evhttp_add_header(h, WP_H_ONCE, c->once);
+        evhttp_add_header(h, WP_H_IDEMPOTENCY_KEY, c->once);
     if (c->session && c->session->by_token && c->session->token)
-        evhttp_add_header(h, WP_H_TOKEN, c->session->token);
+        evhttp_add_header(h, WP_H_SESSION_TOKEN, c->session->token);
     else if (c->session && !c->session->by_token)
         evhttp_add_header(h, WP_H_SESSION, c->session->id);
 }
--- a/tools/wpproxy.c
+++ b/tools/wpproxy.c
@@ -172,7 +172,7 @@
         if (!strcmp(mode, mode_names[i]))
             set_mode(x, (Mode)i);
     json_decref(j);
-    wp_http_json(r, 200, json_object());
+    wp_http_reply_json(r, 200, json_object());
 }
 
 int main(int argc, char **argv)
