--- a/src/wp_shift.c
+++ b/src/wp_shift.c
@@ -33,7 +33,7 @@
 {
     WPShift *sh = p;
     wp_canary_end(&sh->canary);
-    g_hash_table_unref(sh->rolled_back);
+    g_hash_table_unref(sh->reverted_versions);
     g_free(sh->service);
     g_free(sh->version);
     g_free(sh->baseline_version);
@@ -65,8 +65,7 @@
    endpoints of those versions are still registered for some seconds. They do
    not count as endpoints of the old version, so that no session goes back to
    them. XXX: a box that starts after the next order does not know of them. */
-static GHashTable *rolled_back_before(const WPShift *previous,
-                                      const char *version)
+static GHashTable *reverted_before(const WPShift *previous, const char *version)
 {
     GHashTable *t =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -74,7 +73,7 @@
     gpointer v;
     if (!previous)
         return t;
-    g_hash_table_iter_init(&it, previous->rolled_back);
+    g_hash_table_iter_init(&it, previous->reverted_versions);
     while (g_hash_table_iter_next(&it, &v, NULL))
         g_hash_table_add(t, g_strdup(v));
     if (previous->state == WP_SHIFT_ROLLED_BACK || previous->found_bad)
@@ -104,7 +103,7 @@
     if (previous && previous->revision >= o->revision)
         return NULL;
     WPShift *sh = g_new0(WPShift, 1);
-    sh->rolled_back = rolled_back_before(previous, o->version);
+    sh->reverted_versions = reverted_before(previous, o->version);
     sh->baseline_version = baseline_after(previous);
     sh->service = g_strdup(o->service);
     sh->version = g_strdup(o->version);
@@ -284,7 +283,7 @@
 {
     bool is_new = !strcmp(version, sh->version);
     if (wp_shift_has_retired(sh, version) ||
-        g_hash_table_contains(sh->rolled_back, version))
+        g_hash_table_contains(sh->reverted_versions, version))
         return false;
     if (sh->state == WP_SHIFT_ROLLED_BACK || sh->found_bad)
         return !is_new;
--- a/src/wp_shift.h
+++ b/src/wp_shift.h
@@ -39,7 +39,7 @@
     WPCanary canary;   /* the new version's answers against the old one's */
 
     /* Set of the versions of earlier orders that were found bad. */
-    GHashTable *rolled_back;
+    GHashTable *reverted_versions;
 
     /* The version to which the latest completed shift before this one led,
        which is the one to be replaced; NULL: not known. */
