--- a/io/wp_attempts.c
+++ b/io/wp_attempts.c
@@ -27,7 +27,7 @@
 {
     if (!x->link)
         return;
-    x->link->streams--;
+    x->link->in_flight--;
     x->link = NULL;
     g_hash_table_remove(x->server->streams, &x->stream_id);
 }
@@ -161,7 +161,7 @@
 {
     Wp__Frame f = WP__FRAME__INIT;
     Wp__Ping ping = WP__PING__INIT;
-    WPLink *l = wp_hub_link(wp_host_hub(s->host), p->addr);
+    WPLink *l = wp_hub_get_link(wp_host_hub(s->host), p->addr);
     if (!l)
         return;
     ping.sent_us = (uint64_t)wp_host_now(s->host).mono_us;
@@ -191,15 +191,15 @@
     if (x->copy)
         g_string_free(x->copy, TRUE);
     x->copy = x->request->ask_rating ? g_string_new(NULL) : NULL;
-    x->link = wp_hub_link(wp_host_hub(s->host), p->addr);
+    x->link = wp_hub_get_link(wp_host_hub(s->host), p->addr);
     if (!x->link) {
         wp_exchange_do(
             x, wp_entry_lost(s->entry, current_time(x), x->request, false));
         return;
     }
-    x->link->streams++;
+    x->link->in_flight++;
     x->stream_id = ++s->next_stream;
-    x->start_at = x->link->queued;
+    x->start_at = x->link->queued_bytes;
     g_hash_table_insert(s->streams, &x->stream_id, x);
     fill_start(x, &start);
     char *text = x->body ? make_chat_body(x, &size) : NULL;
@@ -356,7 +356,7 @@
 {
     WPServer *s = arg;
     Wp__Frame f = WP__FRAME__INIT;
-    WPLink *l = wp_hub_link(wp_host_hub(s->host), addr);
+    WPLink *l = wp_hub_get_link(wp_host_hub(s->host), addr);
     if (!l)
         return;
     f.body_case = WP__FRAME__BODY_WITNESS;
@@ -420,7 +420,7 @@
 void wp_legs_down(WPServer *s, WPLink *l)
 {
     WPTime now = wp_host_now(s->host);
-    uint64_t written = wp_link_written(l);
+    uint64_t written = wp_link_written_bytes(l);
     wp_entry_witness_lost(s->entry, l->addr);
     wp_list_each_safe (it, tmp, &s->exchanges) {
         WPExchange *x = wp_list_item(it, WPExchange, node);
--- a/io/wp_change.c
+++ b/io/wp_change.c
@@ -1,8 +1,8 @@
-/* Writes changes of configuration. */
+/* Writes changes of the configuration to the store. */
 #include "wp_change.h"
 #include "wp_pb.h"
 
-enum { SETTLE_TRIES = 3 };
+enum { HEAD_READ_TRIES = 3 };
 
 typedef struct Change {
     WPKv *kv;
@@ -20,26 +20,29 @@
     g_free(c);
 }
 
-/* Says what the head holds: this change, or somebody else's. */
-static void judge(Change *c, const WPKvItem *head)
+/* Completes the change with the outcome that the head shows: accepted if the
+   head carries the id of this change, otherwise a conflict with the change
+   whose author it names. */
+static void resolve_by_head(Change *c, const WPKvItem *head)
 {
     Wp__Delta *d = head ? wp__delta__unpack(NULL, head->value.n,
                                             (const uint8_t *)head->value.p)
                         : NULL;
-    bool ours = d && !strcmp(d->change_id, c->id);
+    bool is_own = d && !strcmp(d->change_id, c->id);
     uint64_t revision = head ? head->mod_revision : 0;
     g_autofree char *author = g_strdup(d && d->author ? d->author : "?");
     wp_pb_free(d);
-    finish(c, ours ? WP_CHANGE_ACCEPTED : WP_CHANGE_CONFLICT, revision, author);
+    finish(c, is_own ? WP_CHANGE_ACCEPTED : WP_CHANGE_CONFLICT, revision,
+           author);
 }
 
-static void on_settle(void *arg, const WPKvResult *r)
+static void on_head_read(void *arg, const WPKvResult *r)
 {
     Change *c = arg;
     if (r->ok)
-        judge(c, r->n_items ? r->items : NULL);
-    else if (++c->tries < SETTLE_TRIES)
-        c->kv->ops->range(c->kv, WP_KV_HEAD, NULL, on_settle, c);
+        resolve_by_head(c, r->n_items ? r->items : NULL);
+    else if (++c->tries < HEAD_READ_TRIES)
+        c->kv->ops->range(c->kv, WP_KV_HEAD, NULL, on_head_read, c);
     else
         finish(c, WP_CHANGE_UNKNOWN, 0, NULL);
 }
@@ -48,11 +51,11 @@
 {
     Change *c = arg;
     if (!r->ok)
-        c->kv->ops->range(c->kv, WP_KV_HEAD, NULL, on_settle, c);
+        c->kv->ops->range(c->kv, WP_KV_HEAD, NULL, on_head_read, c);
     else if (r->succeeded)
         finish(c, WP_CHANGE_ACCEPTED, r->revision, NULL);
     else
-        judge(c, r->n_items ? r->items : NULL);
+        resolve_by_head(c, r->n_items ? r->items : NULL);
 }
 
 void wp_change_write(WPKv *kv, uint64_t read_revision, const char *change_id,
@@ -72,7 +75,7 @@
     d.author = (char *)author;
     d.n_ops = ops->len;
     d.ops = (Wp__Op **)ops->pdata;
-    g_autoptr(GByteArray) packed = wp_pb_pack(&d.base);
+    g_autoptr(GByteArray) serialized = wp_pb_pack(&d.base);
     for (guint i = 0; i < ops->len; i++) {
         const Wp__Op *op = ops->pdata[i];
         puts[i].key = g_strconcat(WP_KV_OBJECTS, op->key, NULL);
@@ -80,7 +83,8 @@
         puts[i].remove = !op->has_value;
     }
     puts[ops->len].key = WP_KV_HEAD;
-    puts[ops->len].value = wp_strn((const char *)packed->data, packed->len);
+    puts[ops->len].value =
+        wp_strn((const char *)serialized->data, serialized->len);
     kv->ops->txn(kv, &head, 1, puts, ops->len + 1, on_written, c);
     for (guint i = 0; i < ops->len; i++)
         g_free((gpointer)puts[i].key);
--- a/io/wp_change.h
+++ b/io/wp_change.h
@@ -1,6 +1,7 @@
-/* One change of configuration: objects and head in one transaction that holds
- * only at the revision it was decided on. A lost answer is settled by reading
- * the head, which carries the change's own id. */
+/* Writes one change of the configuration: its objects and the head in one
+ * transaction, which succeeds only if the head is still at the revision that
+ * the change was based on. If the answer of the store is lost, the outcome
+ * is found by reading the head, which holds the id of the last change. */
 #ifndef WP_CHANGE_H
 #define WP_CHANGE_H
 
@@ -8,15 +9,20 @@
 #include "wp_kv.h"
 
 typedef enum WPChangeResult {
-    WP_CHANGE_ACCEPTED, /* in the store at `revision` */
-    WP_CHANGE_CONFLICT, /* the store is at `revision`, another change */
-    WP_CHANGE_UNKNOWN   /* no answer: it may take effect yet */
+    WP_CHANGE_ACCEPTED, /* the change is in the store at `revision` */
+    WP_CHANGE_CONFLICT, /* another change is in the store, at `revision` */
+    /* the store did not answer: the change may still take effect */
+    WP_CHANGE_UNKNOWN
 } WPChangeResult;
 
+/* Receives the result, the revision of the head (0 if unknown) and, if the
+   head was read to find the result, the author that it names (otherwise
+   NULL). */
 typedef void (*WPChangeDone)(void *arg, WPChangeResult result,
                              uint64_t revision, const char *author);
 
-/* `ops` (of Wp__Op) are only read. */
+/* Writes the changes `ops` (of Wp__Op; not modified) if the head is at
+   `read_revision`. Calls `done` once. */
 void wp_change_write(WPKv *kv, uint64_t read_revision, const char *change_id,
                      const char *author, const GPtrArray *ops,
                      WPChangeDone done, void *arg);
--- a/io/wp_digest.c
+++ b/io/wp_digest.c
@@ -1,13 +1,14 @@
-/* What boxes tell each other with each digest besides how far they know the
- * store: sums of moves between versions, what fails, sessions, kept prompts. */
+/* Digests between boxes: besides the revision of the store that a box has, a
+ * digest carries answer counts of traffic shifts, versions that fail under
+ * load, sessions, cached prefixes and clocks. */
 #include "wp_reports.h"
 #include "wp_sync_int.h"
 
-static void hear_sums(WPSync *s, WPTime now, const char *from,
-                      const Wp__MoveSums *m)
+static void merge_sums(WPSync *s, WPTime now, const char *from,
+                       const Wp__MoveSums *m)
 {
     WPShift *sh = wp_shifts_find(s->host->direct.shifts, m->service);
-    WPCanarySums sums = wp_move_sums_read(m);
+    WPCanarySums sums = wp_shift_sums_decode(m);
     if (!sh || sh->revision != m->order)
         return;
     wp_canary_merge_report(&sh->canary, from, m->life, &sums);
@@ -18,13 +19,13 @@
     if (m->bad && !sh->found_bad) {
         wp_shift_merge_bad(sh);
         wp_log(&s->host->log, WP_WARN, "version_bad", "service", sh->service,
-               "version", sh->version, "why", "another box says so", "from",
+               "version", sh->version, "why", "reported by another box", "from",
                from, NULL);
     }
 }
 
-/* "SERVICE VERSION"; neither has blanks. */
-static void hear_loaded(WPSync *s, WPTime now, const char *what)
+/* `what` is "SERVICE VERSION"; neither contains spaces. */
+static void merge_failing_under_load(WPSync *s, WPTime now, const char *what)
 {
     g_auto(GStrv) part = g_strsplit(what, " ", 2);
     if (part[0] && part[1])
@@ -32,34 +33,37 @@
                                         part[1]);
 }
 
-/* Arrays of unlike lengths are a peer's fault: the rest is left out. */
-static void hear_kept(WPSync *s, WPTime now, const Wp__MirrorDigest *d)
+/* The three arrays run in parallel. If a peer sends different lengths, the
+   items beyond the shortest are ignored. */
+static void merge_cached_prefixes(WPSync *s, WPTime now,
+                                  const Wp__MirrorDigest *d)
 {
     size_t n = MIN(d->n_kept_at, MIN(d->n_kept_prefix, d->n_kept_tokens));
     for (size_t i = 0; i < n; i++) {
-        const WPCachedPrefixUpdate news = { d->kept_at[i], d->kept_prefix[i],
-                                            d->kept_tokens[i] };
-        wp_fleet_merge_cached_prefix(s->host->direct.fleet, now, &news);
+        const WPCachedPrefixUpdate update = { d->kept_at[i], d->kept_prefix[i],
+                                              d->kept_tokens[i] };
+        wp_fleet_merge_cached_prefix(s->host->direct.fleet, now, &update);
     }
 }
 
-void wp_sync_hear(void *arg, const char *from, const Wp__MirrorDigest *d)
+void wp_sync_merge_digest(void *arg, const char *from,
+                          const Wp__MirrorDigest *d)
 {
     WPSync *s = arg;
     WPTime now = wp_clock_now(0);
     for (size_t i = 0; i < d->n_moves; i++)
-        hear_sums(s, now, from, d->moves[i]);
+        merge_sums(s, now, from, d->moves[i]);
     for (size_t i = 0; i < d->n_fails_loaded; i++)
-        hear_loaded(s, now, d->fails_loaded[i]);
-    hear_kept(s, now, d);
+        merge_failing_under_load(s, now, d->fails_loaded[i]);
+    merge_cached_prefixes(s, now, d);
     if (s->reports)
         wp_reports_hear_clock(s->reports, now, from, d);
-    int64_t word_us = wp_staleness_peer_confirmed_us(now, d->age_ms);
+    int64_t confirmed_us = wp_staleness_peer_confirmed_us(now, d->age_ms);
     if (d->has_age_ms) {
-        wp_staleness_confirm(&s->fresh, word_us);
-        wp_staleness_note_synced(&s->fresh, d->complete,
+        wp_staleness_confirm(&s->staleness, confirmed_us);
+        wp_staleness_note_synced(&s->staleness, d->complete,
                                  wp_mirror_complete_revision(s->mirror),
-                                 word_us);
+                                 confirmed_us);
     }
     for (size_t i = 0; i < d->n_bound; i++)
         wp_direct_hear(&s->host->direct, now, WP_TELL_BOUND, d->bound[i]);
@@ -79,12 +83,12 @@
 {
     Fill *f = arg;
     Wp__MirrorDigest *d = f->digest;
-    if (sh->state != WP_SHIFT_RUNNING || d->n_moves == WP_MOVES_TOLD)
+    if (sh->state != WP_SHIFT_RUNNING || d->n_moves == WP_DIGEST_SHIFTS_MAX)
         return;
     WPCanarySums own = wp_canary_own_sums(&sh->canary);
     Wp__MoveSums *m = &f->sync->sums[d->n_moves];
     f->sync->sums_list[d->n_moves++] = m;
-    wp_move_sums_fill(sh, f->sync->life, &own, m);
+    wp_shift_sums_encode(sh, f->sync->incarnation, &own, m);
     m->has_elapsed_ms = wp_elapsed_started(&sh->elapsed);
     m->elapsed_ms = (uint64_t)wp_elapsed_ms(&sh->elapsed, f->now);
     m->has_open = 1;
@@ -93,22 +97,22 @@
     m->bad = sh->found_bad;
 }
 
-static void fill_loaded(void *arg, const char *what)
+static void fill_failing_under_load(void *arg, const char *what)
 {
     Fill *f = arg;
-    if (f->digest->n_fails_loaded < WP_LOADED_TOLD)
-        f->sync->loaded[f->digest->n_fails_loaded++] = (char *)what;
+    if (f->digest->n_fails_loaded < WP_DIGEST_FAILING_MAX)
+        f->sync->fails_under_load[f->digest->n_fails_loaded++] = (char *)what;
 }
 
-static void fill_kept(WPSync *s, Wp__MirrorDigest *d)
+static void fill_cached_prefixes(WPSync *s, Wp__MirrorDigest *d)
 {
-    WPCachedPrefixUpdate news[WP_KEPT_TOLD];
-    size_t n = wp_fleet_take_unsent_prefixes(s->host->direct.fleet, news,
-                                             WP_KEPT_TOLD);
+    WPCachedPrefixUpdate updates[WP_DIGEST_PREFIXES_MAX];
+    size_t n = wp_fleet_take_unsent_prefixes(s->host->direct.fleet, updates,
+                                             WP_DIGEST_PREFIXES_MAX);
     for (size_t i = 0; i < n; i++) {
-        s->kept_at[i] = news[i].replica;
-        s->kept_prefix[i] = news[i].key;
-        s->kept_tokens[i] = news[i].tokens;
+        s->kept_at[i] = updates[i].replica;
+        s->kept_prefix[i] = updates[i].key;
+        s->kept_tokens[i] = updates[i].tokens;
     }
     d->n_kept_at = d->n_kept_prefix = d->n_kept_tokens = n;
     d->kept_at = s->kept_at;
@@ -119,31 +123,32 @@
 static size_t fill_sessions(WPSync *s, WPTime now, WPSessionNews what,
                             uint64_t *out)
 {
-    return wp_direct_tell(&s->host->direct, now, what, out, WP_SESSIONS_TOLD);
+    return wp_direct_tell(&s->host->direct, now, what, out,
+                          WP_DIGEST_SESSIONS_MAX);
 }
 
-void wp_sync_fill(void *arg, Wp__MirrorDigest *d)
+void wp_sync_fill_digest(void *arg, Wp__MirrorDigest *d)
 {
     WPSync *s = arg;
     WPTime now = wp_clock_now(0);
     int64_t now_us = now.mono_us;
     d->has_blind = 1;
-    d->blind = s->tried && !s->up;
-    d->has_age_ms = s->fresh.confirmed_us > 0;
-    d->age_ms = (uint32_t)((now_us - s->fresh.confirmed_us) / WP_US_PER_MS);
+    d->blind = s->store_tried && !s->store_up;
+    d->has_age_ms = s->staleness.confirmed_us > 0;
+    d->age_ms = (uint32_t)((now_us - s->staleness.confirmed_us) / WP_US_PER_MS);
     if (s->reports)
         wp_reports_fill(s->reports, now, d);
     Fill f = { s, now, d };
     d->moves = s->sums_list;
     wp_shifts_each(s->host->direct.shifts, fill_sums, &f);
-    d->fails_loaded = s->loaded;
-    wp_fleet_each_failing_under_load(s->host->direct.fleet, now, fill_loaded,
-                                     &f);
+    d->fails_loaded = s->fails_under_load;
+    wp_fleet_each_failing_under_load(s->host->direct.fleet, now,
+                                     fill_failing_under_load, &f);
     d->bound = s->bound;
     d->n_bound = fill_sessions(s, now, WP_TELL_BOUND, s->bound);
-    fill_kept(s, d);
+    fill_cached_prefixes(s, d);
     d->moved = s->moved;
     d->n_moved = fill_sessions(s, now, WP_TELL_MOVED, s->moved);
-    d->left = s->left;
-    d->n_left = fill_sessions(s, now, WP_TELL_LEFT, s->left);
+    d->left = s->retired;
+    d->n_left = fill_sessions(s, now, WP_TELL_LEFT, s->retired);
 }
--- a/io/wp_engine.c
+++ b/io/wp_engine.c
@@ -45,7 +45,7 @@
     g_free(c);
 }
 
-void wp_engine_trim(WPRunner *r)
+void wp_engine_close_surplus(WPRunner *r)
 {
     WPEngineCon *c;
     while ((c = g_queue_pop_head(&r->dead)))
@@ -57,7 +57,7 @@
 void wp_engine_close_idle(WPRunner *r)
 {
     WPEngineCon *c;
-    wp_engine_trim(r);
+    wp_engine_close_surplus(r);
     while ((c = g_queue_pop_head(&r->idle)))
         close_con(c);
 }
@@ -111,9 +111,10 @@
     if (r->paused)
         return;
     r->paused = true;
-    if (!r->pause)
-        r->pause = evtimer_new(wp_host_base(r->runner->host), on_pause, r);
-    event_active(r->pause, EV_TIMEOUT, 0);
+    if (!r->pause_event)
+        r->pause_event =
+            evtimer_new(wp_host_base(r->runner->host), on_pause, r);
+    event_active(r->pause_event, EV_TIMEOUT, 0);
 }
 
 void wp_engine_resume(WPRun *r)
@@ -154,8 +155,8 @@
         send_chunk(r, out->data, out->len);
         return;
     }
-    if (r->copy->len + n <= USAGE_COPY_MAX)
-        g_byte_array_append(r->copy, data, (guint)n);
+    if (r->answer_copy->len + n <= USAGE_COPY_MAX)
+        g_byte_array_append(r->answer_copy, data, (guint)n);
     send_chunk(r, data, n);
 }
 
@@ -174,12 +175,12 @@
         if (written)
             wp_run_finished(r, false);
         else
-            wp_run_not_begun(r, WP_ENDPOINT_DOWN, RETRY_AFTER_MS);
+            wp_run_not_started(r, WP_ENDPOINT_DOWN, RETRY_AFTER_MS);
         return;
     }
     g_queue_push_head(&r->runner->idle, c);
     if (is_refusal(r->status))
-        wp_run_not_begun(r, WP_OVERLOADED, RETRY_AFTER_MS);
+        wp_run_not_started(r, WP_OVERLOADED, RETRY_AFTER_MS);
     else if (r->status >= 500)
         wp_run_finished(r, false);
     else
@@ -225,15 +226,15 @@
     return c ? c : open_con(r->runner);
 }
 
-void wp_engine_begin(WPRun *r)
+void wp_engine_start(WPRun *r)
 {
     const Wp__Start *s = r->job->start;
     struct evhttp_request *req = evhttp_request_new(on_done, r);
     r->con = get_con(r);
     r->con->written = false;
     r->request = req;
-    r->begun = true;
-    r->copy = g_byte_array_new();
+    r->started = true;
+    r->answer_copy = g_byte_array_new();
     wp_sse_init(&r->sse, s->want_usage);
     evhttp_request_set_header_cb(req, on_head);
     evhttp_request_set_chunked_cb(req, on_chunk);
--- a/io/wp_fault.c
+++ b/io/wp_fault.c
@@ -1,8 +1,8 @@
-/* Faults for scenarios. */
+/* Fault injection for scenarios. */
 #include "wp_fault.h"
 
 typedef struct Faulty {
-    WPKv kv; /* first */
+    WPKv kv; /* must be the first member */
     WPKv *real;
     const WPFault *fault;
 } Faulty;
--- a/io/wp_host.c
+++ b/io/wp_host.c
@@ -104,8 +104,8 @@
     .frame = on_frame,
     .up = on_link_up,
     .down = on_link_down,
-    .stamp = on_stamp,
-    .bad = on_bad,
+    .before_send = on_stamp,
+    .bad_frame = on_bad,
     .blocked = on_blocked,
 };
 
--- a/io/wp_host_platform.c
+++ b/io/wp_host_platform.c
@@ -126,9 +126,9 @@
 {
     switch (a->kind) {
     case WP_ACT_SEND: {
-        WPLink *l = wp_hub_link(h->hub, a->addr);
+        WPLink *l = wp_hub_get_link(h->hub, a->addr);
         if (l)
-            wp_link_send_packed(l, a->frame->data, a->frame->len);
+            wp_link_send_serialized(l, a->frame->data, a->frame->len);
         break;
     }
     case WP_ACT_READ_HEAD:
--- a/io/wp_link.c
+++ b/io/wp_link.c
@@ -1,4 +1,4 @@
-/* Links between processes, on libevent's bufferevents. */
+/* Links between processes, built on libevent's bufferevents. */
 #include "wp_link.h"
 #include "wp_clock.h"
 #include "wp_code.h"
@@ -23,7 +23,8 @@
     WPList links;
     GHashTable *by_addr; /* address -> WPLink */
     uint64_t next_id;
-    WPLink *reading; /* whose frames are being taken, while it lives */
+    /* the link whose frames are being handled; NULL once it is closed */
+    WPLink *reading;
     WPTraffic traffic;
 };
 
@@ -36,7 +37,7 @@
     return zone && l->peer_zone && !strcmp(zone, l->peer_zone);
 }
 
-static void say_hello(WPLink *l)
+static void send_hello(WPLink *l)
 {
     Wp__Frame f = WP__FRAME__INIT;
     Wp__Hello hello = WP__HELLO__INIT;
@@ -55,8 +56,8 @@
     l->bev = bev;
     l->outgoing = outgoing;
     l->connected = !outgoing;
-    l->heard_us = wp_clock_now(0).mono_us;
-    l->used_us = l->heard_us;
+    l->received_us = wp_clock_now(0).mono_us;
+    l->last_used_us = l->received_us;
     wp_list_append(&h->links, &l->node);
     bufferevent_setcb(bev, on_read, NULL, on_event, l);
     bufferevent_enable(bev, EV_READ | EV_WRITE);
@@ -74,7 +75,7 @@
     l->closing = true;
     if (h->reading == l)
         h->reading = NULL;
-    /* Whoever tries again from within `down` must get a new link. */
+    /* A caller that reconnects from within `down` must get a new link. */
     if (l->addr && g_hash_table_lookup(h->by_addr, l->addr) == l)
         g_hash_table_remove(h->by_addr, l->addr);
     h->ops->down(h->arg, l);
@@ -86,15 +87,16 @@
     g_free(l);
 }
 
-static void bad_frame(WPLink *l)
+static void reject_frame(WPLink *l)
 {
-    l->hub->ops->bad(l->hub->arg, l);
+    l->hub->ops->bad_frame(l->hub->arg, l);
     wp_link_close(l);
 }
 
-/* Learns who is at the other end. A link that is already known for that
-   address stays the one that is used; this one still carries answers. */
-static void take_hello(WPLink *l, const Wp__Member *m)
+/* Records the identity of the peer. If another link to the peer's address
+   exists, wp_hub_get_link() keeps returning that one; this link still
+   carries answers. */
+static void handle_hello(WPLink *l, const Wp__Member *m)
 {
     WPHub *h = l->hub;
     g_free(l->peer);
@@ -120,17 +122,17 @@
     WPHub *h = l->hub;
     if (blocked(l, false))
         return;
-    l->heard_us = wp_clock_now(0).mono_us;
-    l->used_us = l->heard_us;
+    l->received_us = wp_clock_now(0).mono_us;
+    l->last_used_us = l->received_us;
     if (f->body_case == WP__FRAME__BODY_HELLO) {
-        take_hello(l, f->hello->self);
+        handle_hello(l, f->hello->self);
         h->ops->up(h->arg, l);
     }
     h->ops->frame(h->arg, l, f);
 }
 
-/* Takes one frame off the input; returns false when there is none (or the
-   link is gone). */
+/* Handles one frame of the input buffer. Returns false if no complete frame
+   is there or the link was closed. */
 static bool read_frame(WPLink *l)
 {
     struct evbuffer *in = bufferevent_get_input(l->bev);
@@ -138,8 +140,8 @@
     if (evbuffer_copyout(in, &size, LENGTH_BYTES) < LENGTH_BYTES)
         return false;
     size = ntohl(size);
-    if (size > WP_FRAME_MOST) {
-        bad_frame(l);
+    if (size > WP_FRAME_MAX_BYTES) {
+        reject_frame(l);
         return false;
     }
     if (evbuffer_get_length(in) < LENGTH_BYTES + size)
@@ -147,11 +149,12 @@
     evbuffer_drain(in, LENGTH_BYTES);
     Wp__Frame *f =
         wp__frame__unpack(NULL, size, evbuffer_pullup(in, (ev_ssize_t)size));
-    /* Nothing but Hello is taken from a peer that has not named itself. */
+    /* Until the peer has identified itself by a Hello, any other frame is an
+       error. */
     if (!f || (!l->peer && f->body_case != WP__FRAME__BODY_HELLO)) {
         if (f)
             wp__frame__free_unpacked(f, NULL);
-        bad_frame(l);
+        reject_frame(l);
         return false;
     }
     evbuffer_drain(in, size);
@@ -167,9 +170,9 @@
     WPLink *l = arg;
     WPHub *h = l->hub;
     (void)bev;
-    /* A long frame on a slow link is a sign of life as well. */
-    l->heard_us = wp_clock_now(0).mono_us;
-    /* What a frame brings about may close the link: the hub then forgets. */
+    /* Part of a long frame on a slow link also shows that the peer is alive. */
+    l->received_us = wp_clock_now(0).mono_us;
+    /* Handling a frame may close the link, which sets h->reading to NULL. */
     h->reading = l;
     while (read_frame(l) && h->reading == l)
         ;
@@ -182,7 +185,7 @@
     int one = 1;
     if (what & BEV_EVENT_CONNECTED) {
         l->connected = true;
-        l->heard_us = wp_clock_now(0).mono_us;
+        l->received_us = wp_clock_now(0).mono_us;
         setsockopt(bufferevent_getfd(bev), IPPROTO_TCP, TCP_NODELAY, &one,
                    sizeof(one));
         bufferevent_set_timeouts(bev, NULL, NULL);
@@ -201,7 +204,7 @@
     (void)len;
     struct bufferevent *bev =
         bufferevent_socket_new(h->base, fd, BEV_OPT_CLOSE_ON_FREE);
-    say_hello(new_link(h, bev, false));
+    send_hello(new_link(h, bev, false));
 }
 
 static bool parse_addr(const char *addr, struct sockaddr_in *out)
@@ -251,11 +254,11 @@
     g_free(h);
 }
 
-WPLink *wp_hub_link(WPHub *h, const char *addr)
+WPLink *wp_hub_get_link(WPHub *h, const char *addr)
 {
     WPLink *l = g_hash_table_lookup(h->by_addr, addr);
     struct sockaddr_in sa;
-    struct timeval limit = { WP_LINK_CONNECT_S, 0 };
+    struct timeval limit = { WP_LINK_CONNECT_TIMEOUT_S, 0 };
     if (l)
         return l;
     if (!parse_addr(addr, &sa))
@@ -265,22 +268,24 @@
     l = new_link(h, bev, true);
     l->addr = g_strdup(addr);
     g_hash_table_insert(h->by_addr, l->addr, l);
-    say_hello(l);
+    send_hello(l);
     bufferevent_set_timeouts(bev, NULL, &limit);
     bufferevent_socket_connect(bev, (struct sockaddr *)&sa, sizeof(sa));
     return l;
 }
 
-uint64_t wp_link_written(const WPLink *l)
+uint64_t wp_link_written_bytes(const WPLink *l)
 {
     if (!l->connected)
         return 0;
-    return l->queued - evbuffer_get_length(bufferevent_get_output(l->bev));
+    return l->queued_bytes -
+           evbuffer_get_length(bufferevent_get_output(l->bev));
 }
 
-/* What somebody waits for leaves now and not in the loop's next round. What
-   the socket does not take stays for that round. */
-static void leave_now(WPLink *l)
+/* Writes the output buffer to the socket at once instead of in the next
+   iteration of the event loop, for frames that a request waits for. Bytes
+   that the socket does not accept stay in the buffer until then. */
+static void flush_now(WPLink *l)
 {
     struct evbuffer *out = bufferevent_get_output(l->bev);
     evbuffer_unfreeze(out, 1);
@@ -288,7 +293,7 @@
     evbuffer_freeze(out, 1);
 }
 
-static bool is_awaited(const Wp__Frame *f)
+static bool is_latency_critical(const Wp__Frame *f)
 {
     return f->body_case == WP__FRAME__BODY_START ||
            f->body_case == WP__FRAME__BODY_END ||
@@ -296,14 +301,14 @@
            f->body_case == WP__FRAME__BODY_PONG;
 }
 
-/* Packs straight into the output buffer. */
+/* Serializes the frame directly into the output buffer. */
 void wp_link_send(WPLink *l, Wp__Frame *f)
 {
     struct evbuffer *out = bufferevent_get_output(l->bev);
     struct evbuffer_iovec v;
     if (blocked(l, true))
         return;
-    l->hub->ops->stamp(l->hub->arg, f);
+    l->hub->ops->before_send(l->hub->arg, f);
     size_t size = wp__frame__get_packed_size(f);
     uint32_t length = htonl((uint32_t)size);
     if (evbuffer_reserve_space(out, (ev_ssize_t)(size + LENGTH_BYTES), &v, 1) !=
@@ -313,11 +318,11 @@
     wp__frame__pack(f, (uint8_t *)v.iov_base + LENGTH_BYTES);
     v.iov_len = size + LENGTH_BYTES;
     evbuffer_commit_space(out, &v, 1);
-    l->queued += v.iov_len;
+    l->queued_bytes += v.iov_len;
     wp_traffic_add(&l->hub->traffic, f, is_in_zone(l), WP_TRAFFIC_SENT,
                    v.iov_len);
-    if (l->connected && is_awaited(f))
-        leave_now(l);
+    if (l->connected && is_latency_critical(f))
+        flush_now(l);
 }
 
 const WPTraffic *wp_hub_traffic(const WPHub *h)
@@ -325,15 +330,16 @@
     return &h->traffic;
 }
 
-void wp_link_send_packed(WPLink *l, const uint8_t *data, size_t size)
+void wp_link_send_serialized(WPLink *l, const uint8_t *data, size_t size)
 {
     uint32_t length = htonl((uint32_t)size);
     if (blocked(l, true))
         return;
     bufferevent_write(l->bev, &length, LENGTH_BYTES);
     bufferevent_write(l->bev, data, size);
-    l->queued += size + LENGTH_BYTES;
-    l->used_us = l->heard_us > l->used_us ? l->heard_us : l->used_us;
+    l->queued_bytes += size + LENGTH_BYTES;
+    l->last_used_us =
+        l->received_us > l->last_used_us ? l->received_us : l->last_used_us;
 }
 
 static void ping(WPLink *l, int64_t now_us)
@@ -352,17 +358,17 @@
 {
     wp_list_each_safe (it, tmp, &h->links) {
         WPLink *l = wp_list_item(it, WPLink, node);
-        int64_t idle_us = (int64_t)WP_LINK_IDLE_S * WP_US_PER_S;
-        /* Nobody owes a word on a link without requests: its silence begins
-           with the first one. */
-        if (!l->streams)
-            l->heard_us = now_us;
-        if (l->streams && now_us - l->heard_us > dead_us)
+        int64_t idle_us = (int64_t)WP_LINK_IDLE_TIMEOUT_S * WP_US_PER_S;
+        /* A peer need not send anything on a link without requests in
+           flight: the silence is measured from the first request on. */
+        if (!l->in_flight)
+            l->received_us = now_us;
+        if (l->in_flight && now_us - l->received_us > dead_us)
             wp_link_close(l);
-        else if (l->streams && now_us - l->heard_us >= heartbeat_us &&
+        else if (l->in_flight && now_us - l->received_us >= heartbeat_us &&
                  now_us - l->pinged_us >= heartbeat_us)
             ping(l, now_us);
-        else if (!l->streams && now_us - l->used_us > idle_us)
+        else if (!l->in_flight && now_us - l->last_used_us > idle_us)
             wp_link_close(l);
     }
 }
--- a/io/wp_link.h
+++ b/io/wp_link.h
@@ -1,5 +1,5 @@
-/* Framed connections between the system's own processes: a four byte
- * big-endian length, then a packed Frame. Each side says Hello first. */
+/* Framed connections between the processes of the router: a four byte
+ * big-endian length, then a serialized Frame. Each side sends a Hello first. */
 #ifndef WP_LINK_H
 #define WP_LINK_H
 
@@ -10,11 +10,12 @@
 #include <event2/event.h>
 
 enum {
-    WP_FRAME_MOST = 8 << 20, /* bytes; larger ones close the link */
-    WP_LINK_IDLE_S = 60,
-    WP_LINK_CONNECT_S = 2
+    WP_FRAME_MAX_BYTES = 8 << 20, /* a longer frame closes the link */
+    WP_LINK_IDLE_TIMEOUT_S = 60,
+    WP_LINK_CONNECT_TIMEOUT_S = 2
 };
 
+/* The listener and all links of a process. */
 typedef struct WPHub WPHub;
 
 typedef struct WPLink {
@@ -22,59 +23,76 @@
     WPHub *hub;
     uint64_t id;
     struct bufferevent *bev;
-    char *addr;          /* where the peer listens, once known */
-    uint64_t peer_knows; /* revisions of the store, by its last digest */
-    bool peer_blind;     /* the store does not answer it, by the same */
-    char *peer_zone;     /* as it names it; NULL: it has not */
-    char *peer;          /* the peer's box id, once it said Hello */
+    /* address that the peer listens on; NULL until known */
+    char *addr;
+    /* store revision up to which the peer is complete, from its last digest */
+    uint64_t peer_revision;
+    /* from its last digest: the store does not answer the peer */
+    bool peer_store_unavailable;
+    char *peer_zone; /* from its Hello; NULL: not given yet */
+    char *peer;      /* the peer's box id; NULL before its Hello */
     uint64_t peer_incarnation;
     bool outgoing, connected, closing;
-    uint64_t queued;  /* bytes ever queued */
-    int64_t heard_us; /* when the last frame came */
-    int64_t used_us;  /* when the last frame went or came */
-    unsigned streams; /* requests under way on it */
+    uint64_t queued_bytes; /* bytes queued for sending since the start */
+    int64_t received_us;   /* when data last arrived (monotonic) */
+    /* when the last frame arrived (monotonic), for the idle timeout */
+    int64_t last_used_us;
+    unsigned in_flight; /* requests in flight on the link */
     int64_t pinged_us;
 } WPLink;
 
+/* Callbacks of a hub; `arg` is the one given to wp_hub_new(). */
 typedef struct WPHubOps {
+    /* A frame has arrived; it is freed after this returns. */
     void (*frame)(void *arg, WPLink *l, Wp__Frame *f);
-    void (*up)(void *arg, WPLink *l);   /* the peer has said Hello */
-    void (*down)(void *arg, WPLink *l); /* freed after this returns */
-    /* Called for each frame that goes out, to add what rides along. */
-    void (*stamp)(void *arg, Wp__Frame *f);
-    void (*bad)(void *arg, WPLink *l);
-    /* Whether a scenario has cut this direction; NULL outside of tests. */
+    void (*up)(void *arg, WPLink *l); /* the peer's Hello has arrived */
+    /* the link is freed after this returns */
+    void (*down)(void *arg, WPLink *l);
+    /* Called for each outgoing frame, to add piggybacked fields. */
+    void (*before_send)(void *arg, Wp__Frame *f);
+    /* An invalid frame has arrived; the link is closed after this returns. */
+    void (*bad_frame)(void *arg, WPLink *l);
+    /* Whether fault injection drops frames in this direction; NULL outside
+       of tests. */
     bool (*blocked)(void *arg, const WPLink *l, bool outwards);
 } WPHubOps;
 
-/* Listens on addr:port. NULL and an error if that fails. `self` is sent in
+/* Listens on addr:port and returns the hub, which owns all links of the
+   process. Returns NULL and sets `error` if that fails. `self` is sent in
    each Hello and must stay valid. */
 WPHub *wp_hub_new(struct event_base *base, const char *addr, uint16_t port,
                   const Wp__Member *self, const WPHubOps *ops, void *arg,
                   GError **error);
 void wp_hub_free(WPHub *h);
 
-/* What has gone over its links; frames packed beforehand are not in it. */
+/* Returns the bytes sent and received on all links. Frames sent with
+   wp_link_send_serialized() are not counted. */
 const WPTraffic *wp_hub_traffic(const WPHub *h);
 
-/* The link to the peer that listens at `addr`, made if need be; NULL when
-   the address is malformed. */
-WPLink *wp_hub_link(WPHub *h, const char *addr);
+/* Returns the link to the peer that listens on `addr` (IP:PORT), connecting
+   if there is none. NULL if the address is malformed. */
+WPLink *wp_hub_get_link(WPHub *h, const char *addr);
 
+/* Sends a frame. */
 void wp_link_send(WPLink *l, Wp__Frame *f);
 
-/* Sends a frame packed beforehand. */
-void wp_link_send_packed(WPLink *l, const uint8_t *data, size_t size);
+/* Sends a Frame that was serialized beforehand. */
+void wp_link_send_serialized(WPLink *l, const uint8_t *data, size_t size);
+
+/* Closes the link and frees it, after a call of `down`. */
 void wp_link_close(WPLink *l);
 
-/* Bytes that were handed to the network; less than `queued` while some
-   wait. */
-uint64_t wp_link_written(const WPLink *l);
+/* Returns how many bytes were written to the socket; less than
+   `queued_bytes` while some are still buffered. */
+uint64_t wp_link_written_bytes(const WPLink *l);
 
-/* Pings links in use that have been silent for a heartbeat, closes those that
-   stay silent, and idle ones. */
+/* Sends a ping on each link with requests in flight that has been silent for
+   `heartbeat_us`; closes such links after a silence of `dead_us`, and links
+   without requests after WP_LINK_IDLE_TIMEOUT_S. */
 void wp_hub_tick(WPHub *h, int64_t now_us, int64_t heartbeat_us,
                  int64_t dead_us);
+
+/* Calls `fn` for each link; `fn` may close that link. */
 void wp_hub_each(WPHub *h, void (*fn)(void *arg, WPLink *l), void *arg);
 
 #endif
--- a/io/wp_notice_news.c
+++ b/io/wp_notice_updates.c
@@ -1,34 +1,35 @@
-/* News of limits that endpoints name, and of endpoints that leave or rest. A
- * word goes out with the loop's next turn, as an endpoint counts what all boxes
- * send from the first naming of a limit on; what follows within some ms goes in
- * one message. */
-#include "wp_notice_news.h"
+/* Sends to other boxes the limits that endpoints report, and which endpoints
+ * drain or ask for back-off. The first update goes out in the next iteration
+ * of the event loop, because an endpoint counts the requests of all boxes as
+ * soon as it has reported a limit; updates that follow within
+ * MIN_INTERVAL_MS are sent in one message. */
+#include "wp_notice_updates.h"
 
 #include <stdio.h>
 
 enum {
-    GAP_MS = 20,     /* between messages */
-    TOLD_MOST = 256, /* of each sort in one message */
-    FIGURE = 24      /* bytes of a figure as text */
+    MIN_INTERVAL_MS = 20, /* between messages */
+    ITEMS_MAX = 256,      /* of each kind in one message */
+    NUMBER_SIZE = 24      /* bytes of a number as text */
 };
 
-struct WPNoticeFlood {
+struct WPNoticeUpdates {
     WPDirectHost *host;
     WPPeers *peers;
     struct event *send;
-    GArray *demands; /* WPDemandUpdate: of zones, to be told */
+    GArray *demands; /* WPDemandUpdate: demand rates of zones, not sent yet */
     int64_t sent_us;
 };
 
-/* To all boxes that are linked, or to one of them; goes out when it is full. */
+/* A message to all linked boxes or to one of them; sent early when full. */
 typedef struct Message {
     WPPeers *peers;
-    const char *to; /* NULL: all */
-    Wp__EndpointLimit limits[TOLD_MOST], *limit_list[TOLD_MOST];
-    Wp__ZoneDemand demands[TOLD_MOST], *demand_list[TOLD_MOST];
-    uint64_t leaving[TOLD_MOST];
-    Wp__EndpointRest rests[TOLD_MOST], *rest_list[TOLD_MOST];
-    Wp__NoticeNews news;
+    const char *to; /* box id; NULL: all boxes */
+    Wp__EndpointLimit limits[ITEMS_MAX], *limit_list[ITEMS_MAX];
+    Wp__ZoneDemand demands[ITEMS_MAX], *demand_list[ITEMS_MAX];
+    uint64_t leaving[ITEMS_MAX];
+    Wp__EndpointRest rests[ITEMS_MAX], *rest_list[ITEMS_MAX];
+    Wp__NoticeNews wire;
 } Message;
 
 static Message *new_message(WPPeers *peers, const char *to)
@@ -36,29 +37,29 @@
     Message *m = g_new(Message, 1);
     m->peers = peers;
     m->to = to;
-    wp__notice_news__init(&m->news);
-    m->news.limits = m->limit_list;
-    m->news.demands = m->demand_list;
-    m->news.leaving = m->leaving;
-    m->news.rests = m->rest_list;
+    wp__notice_news__init(&m->wire);
+    m->wire.limits = m->limit_list;
+    m->wire.demands = m->demand_list;
+    m->wire.leaving = m->leaving;
+    m->wire.rests = m->rest_list;
     return m;
 }
 
 static void send_message(Message *m)
 {
-    if (m->news.n_limits || m->news.n_demands || m->news.n_leaving ||
-        m->news.n_rests)
-        wp_peers_send_notices(m->peers, m->to, &m->news);
-    m->news.n_limits = m->news.n_demands = 0;
-    m->news.n_leaving = m->news.n_rests = 0;
+    if (m->wire.n_limits || m->wire.n_demands || m->wire.n_leaving ||
+        m->wire.n_rests)
+        wp_peers_send_notices(m->peers, m->to, &m->wire);
+    m->wire.n_limits = m->wire.n_demands = 0;
+    m->wire.n_leaving = m->wire.n_rests = 0;
 }
 
 static void add_limit(void *arg, const WPLimitUpdate *n)
 {
     Message *m = arg;
-    if (m->news.n_limits == TOLD_MOST)
+    if (m->wire.n_limits == ITEMS_MAX)
         send_message(m);
-    size_t i = m->news.n_limits++;
+    size_t i = m->wire.n_limits++;
     Wp__EndpointLimit *l = &m->limits[i];
     wp__endpoint_limit__init(l);
     l->endpoint = n->endpoint;
@@ -71,9 +72,9 @@
 static void add_demand(void *arg, const WPDemandUpdate *n)
 {
     Message *m = arg;
-    if (m->news.n_demands == TOLD_MOST)
+    if (m->wire.n_demands == ITEMS_MAX)
         send_message(m);
-    size_t i = m->news.n_demands++;
+    size_t i = m->wire.n_demands++;
     Wp__ZoneDemand *d = &m->demands[i];
     wp__zone_demand__init(d);
     d->service = n->service;
@@ -84,20 +85,20 @@
     m->demand_list[i] = d;
 }
 
-static void add_leaving(void *arg, uint64_t life)
+static void add_draining(void *arg, uint64_t incarnation)
 {
     Message *m = arg;
-    if (m->news.n_leaving == TOLD_MOST)
+    if (m->wire.n_leaving == ITEMS_MAX)
         send_message(m);
-    m->leaving[m->news.n_leaving++] = life;
+    m->leaving[m->wire.n_leaving++] = incarnation;
 }
 
-static void add_rests(WPNoticeFlood *n, WPTime now, Message *m)
+static void add_backoffs(WPNoticeUpdates *n, WPTime now, Message *m)
 {
-    WPBackoffUpdate rests[TOLD_MOST];
-    m->news.n_rests = wp_fleet_take_unsent_backoffs(n->host->direct.fleet, now,
+    WPBackoffUpdate rests[ITEMS_MAX];
+    m->wire.n_rests = wp_fleet_take_unsent_backoffs(n->host->direct.fleet, now,
                                                     rests, WP_COUNT(rests));
-    for (size_t i = 0; i < m->news.n_rests; i++) {
+    for (size_t i = 0; i < m->wire.n_rests; i++) {
         wp__endpoint_rest__init(&m->rests[i]);
         m->rests[i].endpoint = rests[i].endpoint;
         m->rests[i].left_ms = rests[i].left_ms;
@@ -107,9 +108,9 @@
 
 static void on_send(evutil_socket_t fd, short what, void *arg)
 {
-    WPNoticeFlood *n = arg;
+    WPNoticeUpdates *n = arg;
     WPTime now = wp_clock_now(0);
-    WPLimitUpdate limits[TOLD_MOST];
+    WPLimitUpdate limits[ITEMS_MAX];
     g_autofree Message *m = new_message(n->peers, NULL);
     (void)fd;
     (void)what;
@@ -120,17 +121,17 @@
     for (guint i = 0; i < n->demands->len; i++)
         add_demand(m, &g_array_index(n->demands, WPDemandUpdate, i));
     g_array_set_size(n->demands, 0);
-    m->news.n_leaving = wp_fleet_take_unsent_draining(
+    m->wire.n_leaving = wp_fleet_take_unsent_draining(
         n->host->direct.fleet, m->leaving, WP_COUNT(m->leaving));
-    add_rests(n, now, m);
+    add_backoffs(n, now, m);
     n->sent_us = now.mono_us;
     send_message(m);
 }
 
-void wp_notice_news_wake(WPNoticeFlood *n)
+void wp_notice_updates_schedule(WPNoticeUpdates *n)
 {
     static const struct timeval at_once = { 0, 0 };
-    static const struct timeval later = { 0, GAP_MS * WP_US_PER_MS };
+    static const struct timeval later = { 0, MIN_INTERVAL_MS * WP_US_PER_MS };
     const WPFleet *f = n->host->direct.fleet;
     bool any = n->demands->len || wp_fleet_has_unsent_limits(f) ||
                wp_fleet_has_unsent_draining(f) ||
@@ -138,17 +139,17 @@
     if (!any || event_pending(n->send, EV_TIMEOUT, NULL))
         return;
     int64_t gap_us = wp_clock_now(0).mono_us - n->sent_us;
-    bool waits = gap_us < (int64_t)GAP_MS * WP_US_PER_MS;
+    bool waits = gap_us < (int64_t)MIN_INTERVAL_MS * WP_US_PER_MS;
     event_add(n->send, waits ? &later : &at_once);
 }
 
-static void add_figure(WPNoticeFlood *n, const WPDemandUpdate *d)
+static void queue_demand(WPNoticeUpdates *n, const WPDemandUpdate *d)
 {
-    if (n->demands->len < TOLD_MOST)
+    if (n->demands->len < ITEMS_MAX)
         g_array_append_val(n->demands, *d);
 }
 
-static void log_rested(WPNoticeFlood *n, WPTime now)
+static void log_ended_backoffs(WPNoticeUpdates *n, WPTime now)
 {
     WPReplica *s;
     while ((s = wp_fleet_next_backoff_ended(n->host->direct.fleet, now))) {
@@ -158,80 +159,82 @@
     }
 }
 
-void wp_notice_news_tick(WPNoticeFlood *n, WPTime now)
+void wp_notice_updates_tick(WPNoticeUpdates *n, WPTime now)
 {
     WPFleet *f = n->host->direct.fleet;
     WPDemandUpdate d;
     while (wp_demand_is_active(wp_fleet_demand(f), now) &&
-           wp_peers_passes_news(n->peers) &&
+           wp_peers_is_relay_root(n->peers) &&
            wp_fleet_take_unsent_zone_demand(f, now, &d))
-        add_figure(n, &d);
-    log_rested(n, now);
-    wp_notice_news_wake(n);
+        queue_demand(n, &d);
+    log_ended_backoffs(n, now);
+    wp_notice_updates_schedule(n);
 }
 
-static void log_heard(WPNoticeFlood *n, const char *from, const WPReplica *s,
-                      double was)
+static void log_merged_limit(WPNoticeUpdates *n, const char *from,
+                             const WPReplica *s, double previous)
 {
-    char had[FIGURE], has[FIGURE];
-    snprintf(had, sizeof(had), "%g", was);
+    char had[NUMBER_SIZE], has[NUMBER_SIZE];
+    snprintf(had, sizeof(had), "%g", previous);
     snprintf(has, sizeof(has), "%g", wp_fleet_limit_of(s));
     wp_log(&n->host->log, WP_INFO, "endpoint_limit", "endpoint", s->id,
            "service", s->service, "version", s->version, "per_s", has, "was",
            had, "from", from, NULL);
 }
 
-static void hear_limit(WPNoticeFlood *n, WPTime now, const char *from,
-                       const Wp__EndpointLimit *l)
+static void merge_limit(WPNoticeUpdates *n, WPTime now, const char *from,
+                        const Wp__EndpointLimit *l)
 {
     WPFleet *f = n->host->direct.fleet;
     const WPReplica *known = wp_fleet_by_hash(f, l->endpoint);
-    double was = known ? wp_fleet_limit_of(known) : 0;
-    const WPLimitUpdate news = { l->endpoint, l->per_s, l->number, l->box };
-    const WPReplica *s = wp_fleet_merge_limit(f, now, &news);
-    if (s && wp_fleet_limit_of(s) != was)
-        log_heard(n, from, s, was);
+    double previous = known ? wp_fleet_limit_of(known) : 0;
+    const WPLimitUpdate update = { l->endpoint, l->per_s, l->number, l->box };
+    const WPReplica *s = wp_fleet_merge_limit(f, now, &update);
+    if (s && wp_fleet_limit_of(s) != previous)
+        log_merged_limit(n, from, s, previous);
 }
 
-static void hear_demand(WPNoticeFlood *n, WPTime now, const Wp__ZoneDemand *d)
+static void merge_demand(WPNoticeUpdates *n, WPTime now,
+                         const Wp__ZoneDemand *d)
 {
-    const WPDemandUpdate news = { d->service, d->zone, d->per_min, d->number,
-                                  d->box };
+    const WPDemandUpdate update = { d->service, d->zone, d->per_min, d->number,
+                                    d->box };
     if (wp_demand_merge_zone(wp_fleet_demand(n->host->direct.fleet), now,
-                             &news))
-        add_figure(n, &news);
+                             &update))
+        queue_demand(n, &update);
 }
 
-static void hear_leaving(WPNoticeFlood *n, WPTime now, const char *from,
-                         uint64_t life)
+static void merge_draining(WPNoticeUpdates *n, WPTime now, const char *from,
+                           uint64_t incarnation)
 {
     const WPReplica *s =
-        wp_fleet_merge_draining(n->host->direct.fleet, now, life);
+        wp_fleet_merge_draining(n->host->direct.fleet, now, incarnation);
     if (s)
         wp_log(&n->host->log, WP_INFO, "endpoint_leaving", "endpoint", s->id,
                "service", s->service, "version", s->version, "zone", s->zone,
                "from", from, NULL);
 }
 
-void wp_notice_news_heard(WPNoticeFlood *n, const char *from,
-                          const Wp__NoticeNews *m)
+void wp_notice_updates_merge(WPNoticeUpdates *n, const char *from,
+                             const Wp__NoticeNews *m)
 {
     WPTime now = wp_clock_now(0);
     for (size_t i = 0; i < m->n_limits; i++)
-        hear_limit(n, now, from, m->limits[i]);
+        merge_limit(n, now, from, m->limits[i]);
     for (size_t i = 0; i < m->n_demands; i++)
-        hear_demand(n, now, m->demands[i]);
+        merge_demand(n, now, m->demands[i]);
     for (size_t i = 0; i < m->n_leaving; i++)
-        hear_leaving(n, now, from, m->leaving[i]);
+        merge_draining(n, now, from, m->leaving[i]);
     for (size_t i = 0; i < m->n_rests; i++) {
         const WPBackoffUpdate r = { m->rests[i]->endpoint,
                                     m->rests[i]->left_ms };
         wp_fleet_merge_backoff(n->host->direct.fleet, now, &r);
     }
-    wp_notice_news_wake(n);
+    wp_notice_updates_schedule(n);
 }
 
-void wp_notice_news_peer(WPNoticeFlood *n, const char *peer, bool up)
+void wp_notice_updates_peer_changed(WPNoticeUpdates *n, const char *peer,
+                                    bool up)
 {
     WPFleet *f = n->host->direct.fleet;
     WPDemand *d = wp_fleet_demand(f);
@@ -241,13 +244,13 @@
         return;
     wp_fleet_each_limit(f, add_limit, m);
     wp_demand_each_zone(d, wp_clock_now(0), add_demand, m);
-    wp_fleet_each_draining(f, add_leaving, m);
+    wp_fleet_each_draining(f, add_draining, m);
     send_message(m);
 }
 
-WPNoticeFlood *wp_notice_news_new(WPDirectHost *h, WPPeers *peers)
+WPNoticeUpdates *wp_notice_updates_new(WPDirectHost *h, WPPeers *peers)
 {
-    WPNoticeFlood *n = g_new0(WPNoticeFlood, 1);
+    WPNoticeUpdates *n = g_new0(WPNoticeUpdates, 1);
     n->host = h;
     n->peers = peers;
     n->send = evtimer_new(h->base, on_send, n);
@@ -255,7 +258,7 @@
     return n;
 }
 
-void wp_notice_news_free(WPNoticeFlood *n)
+void wp_notice_updates_free(WPNoticeUpdates *n)
 {
     if (!n)
         return;
--- a/io/wp_peers.c
+++ b/io/wp_peers.c
@@ -1,4 +1,4 @@
-/* Links between direct entries. */
+/* Exchange of digests and deltas between the boxes of direct mode. */
 #include "wp_clock.h"
 #include "wp_code.h"
 #include "wp_http.h"
@@ -6,14 +6,19 @@
 #include "wp_peers_int.h"
 
 enum {
-    DIGEST_HURRY_MS = 250, /* the same, while a move runs */
-    DIGEST_MS = 1000,      /* between digests that tell nothing new */
-    PULL_AGAIN_MS = 200,   /* a pull without an answer */
-    FEEDER_MS = 500,    /* a hop takes a tick and an answer, some 60 ms, and a
-                           zone of 500 boxes has five */
-    FAR_AGAIN_MS = 600, /* after word of whom of the own zone to ask */
-    PULL_ALL_AGAIN_MS = 1500, /* the same of all entries: 0.6 MB for three
-                                 thousand, over links of 10 Mbit/s */
+    DIGEST_FAST_MS = 250, /* between digests while a shift runs */
+    /* between digests otherwise, if nothing has changed */
+    DIGEST_MS = 1000,
+    PULL_RETRY_MS = 200, /* until a pull without an answer is repeated */
+    /* a hop takes a tick and an answer, some 60 ms, and a zone of 500 boxes
+       has five hops */
+    PARENT_WAIT_MS = 500,
+    /* no full pull from other zones for so long after a box has named others
+       of the own zone to ask */
+    REMOTE_RETRY_MS = 600,
+    /* PULL_RETRY_MS for a pull of all entries: 0.6 MB for three thousand,
+       over links of 10 Mbit/s */
+    FULL_PULL_RETRY_MS = 1500,
 };
 
 static void member_free(void *p)
@@ -25,14 +30,15 @@
     g_free(m);
 }
 
-/* A digest with all that goes along; what it tells counts as told. */
+/* Fills a digest with all that goes along with it; the updates in it are
+   then marked as sent. */
 static void fill_digest(WPPeers *p, Wp__MirrorDigest *d)
 {
     wp__mirror_digest__init(d);
     d->complete = wp_mirror_complete_revision(p->mirror);
     d->has_entries = 1;
     d->entries = wp_mirror_size(p->mirror);
-    p->ops->fill(p->arg, d);
+    p->ops->fill_digest(p->arg, d);
 }
 
 static void send_digest(WPLink *l, Wp__MirrorDigest *d)
@@ -49,24 +55,25 @@
         send_digest(l, arg);
 }
 
-static void take_digest(WPPeers *p, WPLink *l, const Wp__MirrorDigest *d)
+static void handle_digest(WPPeers *p, WPLink *l, const Wp__MirrorDigest *d)
 {
     WPTime now = wp_clock_now(0);
     WPPeerMember *m = g_hash_table_lookup(p->members, l->peer);
     if (m) {
-        m->heard = true;
-        m->blind = d->blind;
-        m->knows = d->complete;
+        m->digest_seen = true;
+        m->store_unavailable = d->blind;
+        m->revision = d->complete;
     }
-    l->peer_knows = d->complete;
-    l->peer_blind = d->blind;
-    p->entries = MAX(p->entries, d->entries);
-    p->ops->heard(p->arg, l->peer, d);
+    l->peer_revision = d->complete;
+    l->peer_store_unavailable = d->blind;
+    p->max_entries = MAX(p->max_entries, d->entries);
+    p->ops->digest_received(p->arg, l->peer, d);
     if (d->complete <= wp_mirror_complete_revision(p->mirror))
         return;
     wp_lag_record_remote(&p->lag, now, d->complete);
-    /* The newest that knows more is asked: an earlier one may have died. */
-    p->behind_link = l->id;
+    /* The link with the latest such digest is asked: an earlier peer may
+       have died since. */
+    p->ahead_link_id = l->id;
 }
 
 static void answer_pull(WPPeers *p, WPLink *l, const Wp__MirrorPull *pull)
@@ -75,7 +82,8 @@
     Wp__MirrorDelta *d =
         pull->packs ? wp_mirror_delta_compressed(p->mirror, pull->since) : NULL;
     if (d && !pull->since &&
-        !wp_full_sync_limit_take(&p->tell, wp_clock_now(0), d->packed.len)) {
+        !wp_full_sync_limit_take(&p->full_sync_limit, wp_clock_now(0),
+                                 d->packed.len)) {
         wp_mirror_delta_free(d);
         d = wp_mirror_delta_matching(p->mirror, WP_KEY_BOX, l->peer_zone);
     }
@@ -87,26 +95,26 @@
     wp_mirror_delta_free(d);
 }
 
-static void take_delta(WPPeers *p, WPLink *l, const Wp__MirrorDelta *d)
+static void handle_delta(WPPeers *p, WPLink *l, const Wp__MirrorDelta *d)
 {
-    Wp__MirrorDelta *whole =
+    Wp__MirrorDelta *decompressed =
         d->has_packed ? wp_mirror_delta_decompress(d) : NULL;
-    p->pulls = 0;
+    p->unanswered_pulls = 0;
     if (d->partial) {
         p->partial_us = wp_clock_now(0).mono_us;
         p->pulled_us = 0;
     }
-    /* A delta that begins after what is known would leave a gap. */
+    /* A delta that starts after the local revision would leave a gap. */
     if (d->since > wp_mirror_complete_revision(p->mirror))
         goto end;
     if (!d->has_packed)
         p->ops->delta(p->arg, l->peer, d);
-    else if (whole)
-        p->ops->delta(p->arg, l->peer, whole);
+    else if (decompressed)
+        p->ops->delta(p->arg, l->peer, decompressed);
     else
         p->ops->bad_delta(p->arg, l->peer);
 end:
-    wp_pb_free(whole);
+    wp_pb_free(decompressed);
 }
 
 static void on_frame(void *arg, WPLink *l, Wp__Frame *f)
@@ -114,26 +122,26 @@
     WPPeers *p = arg;
     switch (f->body_case) {
     case WP__FRAME__BODY_MIRROR_DIGEST:
-        take_digest(p, l, f->mirror_digest);
+        handle_digest(p, l, f->mirror_digest);
         break;
     case WP__FRAME__BODY_MIRROR_PULL:
         answer_pull(p, l, f->mirror_pull);
         break;
     case WP__FRAME__BODY_MIRROR_DELTA:
-        take_delta(p, l, f->mirror_delta);
+        handle_delta(p, l, f->mirror_delta);
         break;
     case WP__FRAME__BODY_ZONE_NEWS:
-        wp_peers_take_news(p, l, wp_clock_now(0), f->zone_news);
+        wp_peers_receive_zone_updates(p, l, wp_clock_now(0), f->zone_news);
         break;
     case WP__FRAME__BODY_SUSPECT_NEWS:
-        p->ops->suspects(p->arg, l->peer, f->suspect_news);
+        p->ops->suspect_updates(p->arg, l->peer, f->suspect_news);
         break;
     case WP__FRAME__BODY_NOTICE_NEWS:
-        p->ops->notices(p->arg, l->peer, f->notice_news);
+        p->ops->notice_updates(p->arg, l->peer, f->notice_news);
         break;
     case WP__FRAME__BODY_USAGE_NEWS:
-        p->ops->usage(p->arg, g_strcmp0(l->peer_zone, p->self.zone) != 0,
-                      f->usage_news);
+        p->ops->usage_updates(
+            p->arg, g_strcmp0(l->peer_zone, p->self.zone) != 0, f->usage_news);
         break;
     default:
         break;
@@ -148,7 +156,7 @@
     d.complete = wp_mirror_complete_revision(p->mirror);
     d.has_entries = 1;
     d.entries = wp_mirror_size(p->mirror);
-    p->ops->changed(p->arg, l->peer, true);
+    p->ops->peer_changed(p->arg, l->peer, true);
     send_digest(l, &d);
 }
 
@@ -158,7 +166,7 @@
     if (!l->peer)
         return;
     p->linked--;
-    p->ops->changed(p->arg, l->peer, false);
+    p->ops->peer_changed(p->arg, l->peer, false);
 }
 
 static void on_stamp(void *arg, Wp__Frame *f)
@@ -176,8 +184,8 @@
 static const WPHubOps hub_ops = { .frame = on_frame,
                                   .up = on_up,
                                   .down = on_down,
-                                  .stamp = on_stamp,
-                                  .bad = on_bad };
+                                  .before_send = on_stamp,
+                                  .bad_frame = on_bad };
 
 WPPeers *wp_peers_new(struct event_base *base, const Wp__DirectSettings *s,
                       WPMirror *mirror, const WPPeersOps *ops, void *arg,
@@ -202,7 +210,8 @@
         wp_peers_free(p);
         return NULL;
     }
-    p->self.id = g_strdup(s->id); /* settings go when they are read anew */
+    /* copied, as the settings are freed when they are reloaded */
+    p->self.id = g_strdup(s->id);
     p->self.incarnation = (uint64_t)wp_clock_now(0).wall_ms;
     p->self.addr = p->host;
     p->self.port = port;
@@ -227,8 +236,8 @@
     g_free(p);
 }
 
-void wp_peers_member(WPPeers *p, const char *id, const char *addr,
-                     const char *zone)
+void wp_peers_set_member(WPPeers *p, const char *id, const char *addr,
+                         const char *zone)
 {
     WPPeerMember *m = g_hash_table_lookup(p->members, id);
     bool same = m && !strcmp(m->addr, addr) && !strcmp(m->zone, zone);
@@ -238,17 +247,17 @@
     m->id = g_strdup(id);
     m->addr = g_strdup(addr);
     m->zone = g_strdup(zone);
-    wp_peers_forget_passer(p, g_hash_table_lookup(p->members, id));
+    wp_peers_forget_relay(p, g_hash_table_lookup(p->members, id));
     g_hash_table_replace(p->members, m->id, m);
-    p->changes++;
+    p->generation++;
 }
 
-uint32_t wp_peers_changes(const WPPeers *p)
+uint32_t wp_peers_generation(const WPPeers *p)
 {
-    return p->changes;
+    return p->generation;
 }
 
-void wp_peers_each_member(WPPeers *p, WPPeersEach fn, void *arg)
+void wp_peers_each_member(WPPeers *p, WPPeersEachFn fn, void *arg)
 {
     GHashTableIter it;
     gpointer v;
@@ -259,18 +268,19 @@
     }
 }
 
-void wp_peers_announce(WPPeers *p)
+void wp_peers_schedule_digest(WPPeers *p)
 {
-    p->dirty = true;
+    p->digest_due = true;
 }
 
 typedef struct Find {
     const WPPeers *peers;
-    uint64_t id;    /* of the link whose digest told more last */
-    WPLink *link;   /* that one, else any */
-    WPLink *near;   /* one in this zone that knows more */
-    WPLink *feeder; /* the one that this box has its zone's news from, if it
-                       knows more */
+    /* id of the link whose digest last showed a newer revision */
+    uint64_t id;
+    WPLink *link;  /* that link, otherwise any */
+    WPLink *local; /* one in this zone with a newer revision */
+    /* the link to the relay parent, if that has a newer revision */
+    WPLink *parent;
 } Find;
 
 static void find_link(void *arg, WPLink *l)
@@ -282,65 +292,69 @@
     if (l->id == f->id || !f->link)
         f->link = l;
     bool own = l->peer_zone && !strcmp(l->peer_zone, p->self.zone);
-    if (!own || l->peer_knows <= wp_mirror_complete_revision(p->mirror))
+    if (!own || l->peer_revision <= wp_mirror_complete_revision(p->mirror))
         return;
-    f->near = l;
-    if (p->feeder && !strcmp(l->peer, p->feeder->id))
-        f->feeder = l;
-}
-
-/* A box of this zone is asked first, then, as that one may have died, the one
-   that told of more last. All entries come from another zone only where the
-   store does not give them: bytes between zones are paid for, and 300 boxes
-   that asked three made 1.8 MB a second at one of them. */
-static WPLink *choose_link(WPPeers *p, WPTime now, bool feeder_only)
-{
-    Find f = { .peers = p, .id = p->behind_link };
-    int64_t named_us = now.mono_us - p->partial_us;
-    bool named =
-        p->partial_us && named_us < (int64_t)FAR_AGAIN_MS * WP_US_PER_MS;
+    f->local = l;
+    if (p->relay_parent && !strcmp(l->peer, p->relay_parent->id))
+        f->parent = l;
+}
+
+/* Chooses the link to pull from: a box of this zone first, then, as that one
+   may have died, the box whose digest last showed a newer revision. All
+   entries are pulled from another zone only if the store does not deliver
+   them: traffic between zones costs money, and 300 boxes that pulled from
+   three boxes caused 1.8 MB a second at one of them. With `parent_only` only
+   the relay parent is considered. */
+static WPLink *choose_link(WPPeers *p, WPTime now, bool parent_only)
+{
+    Find f = { .peers = p, .id = p->ahead_link_id };
+    int64_t referred_ago_us = now.mono_us - p->partial_us;
+    bool referred = p->partial_us &&
+                    referred_ago_us < (int64_t)REMOTE_RETRY_MS * WP_US_PER_MS;
     wp_hub_each(p->hub, find_link, &f);
-    if (feeder_only)
-        return f.feeder;
-    if (!wp_mirror_complete_revision(p->mirror) && (named || !p->pulls_far))
-        return f.near;
-    return f.near && !p->pulls ? f.near : f.link;
+    if (parent_only)
+        return f.parent;
+    if (!wp_mirror_complete_revision(p->mirror) &&
+        (referred || !p->remote_full_pull))
+        return f.local;
+    return f.local && !p->unanswered_pulls ? f.local : f.link;
 }
 
-/* In a large zone a change goes the way of news: the box that learns it first
-   is asked by a few, not by all at once, whom it would take a second to tell.
-   Who has waited for long asks any. */
-static bool waits_for_feeder(const WPPeers *p, int64_t behind_ms)
+/* In a large zone changes follow the relay tree: the box that learns of a
+   change first is asked by its few children and not by all boxes at once,
+   which it would take a second to answer. A box that has waited for
+   PARENT_WAIT_MS may ask any other. */
+static bool waits_for_parent(const WPPeers *p, int64_t lag_ms)
 {
-    return p->feeder && p->zone_is_large &&
-           wp_mirror_complete_revision(p->mirror) && behind_ms < FEEDER_MS;
+    return p->relay_parent && p->zone_is_large &&
+           wp_mirror_complete_revision(p->mirror) && lag_ms < PARENT_WAIT_MS;
 }
 
 static void pull(WPPeers *p, WPTime now)
 {
     uint64_t complete = wp_mirror_complete_revision(p->mirror);
-    int64_t behind_ms = wp_peers_behind_ms(p, now);
-    if (!behind_ms || behind_ms < p->patience_ms ||
+    int64_t lag_ms = wp_peers_lag_ms(p, now);
+    if (!lag_ms || lag_ms < p->pull_delay_ms ||
         !wp_peers_is_due(&p->pulled_us, now,
-                         complete ? PULL_AGAIN_MS : PULL_ALL_AGAIN_MS))
+                         complete ? PULL_RETRY_MS : FULL_PULL_RETRY_MS))
         return;
-    WPLink *l = choose_link(p, now, waits_for_feeder(p, behind_ms));
+    WPLink *l = choose_link(p, now, waits_for_parent(p, lag_ms));
     if (!l) {
-        p->pulled_us = 0; /* as soon as there is one to ask */
+        p->pulled_us = 0; /* pulls as soon as there is a link */
         return;
     }
-    p->pulls++;
+    p->unanswered_pulls++;
     Wp__Frame f = WP__FRAME__INIT;
-    Wp__MirrorPull ask = WP__MIRROR_PULL__INIT;
-    ask.since = complete;
-    ask.has_packs = ask.packs = 1;
+    Wp__MirrorPull request = WP__MIRROR_PULL__INIT;
+    request.since = complete;
+    request.has_packs = request.packs = 1;
     f.body_case = WP__FRAME__BODY_MIRROR_PULL;
-    f.mirror_pull = &ask;
+    f.mirror_pull = &request;
     wp_link_send(l, &f);
 }
 
 typedef struct SendTo {
-    const char *to; /* NULL: all */
+    const char *to; /* box id; NULL: all */
     Wp__Frame *frame;
 } SendTo;
 
@@ -372,59 +386,59 @@
 static void close_silent(void *arg, WPLink *l)
 {
     const WPTime *now = arg;
-    if (l->peer &&
-        now->mono_us - l->heard_us > (int64_t)WP_PEERS_SILENT_MS * WP_US_PER_MS)
+    if (l->peer && now->mono_us - l->received_us >
+                       (int64_t)WP_PEERS_SILENCE_TIMEOUT_MS * WP_US_PER_MS)
         wp_link_close(l);
 }
 
 void wp_peers_tick(WPPeers *p, WPTime now)
 {
     wp_hub_each(p->hub, close_silent, &now);
-    wp_peers_reach(p, now);
+    wp_peers_connect(p, now);
     pull(p, now);
     bool due = wp_peers_is_due(&p->digest_us, now,
-                               p->hurry ? DIGEST_HURRY_MS : DIGEST_MS);
-    if (!due && !p->dirty)
+                               p->fast_digests ? DIGEST_FAST_MS : DIGEST_MS);
+    if (!due && !p->digest_due)
         return;
-    p->dirty = false;
+    p->digest_due = false;
     p->digest_us = now.mono_us;
     Wp__MirrorDigest d;
     fill_digest(p, &d);
     wp_hub_each(p->hub, send_to_each, &d);
 }
 
-int64_t wp_peers_behind_ms(WPPeers *p, WPTime now)
+int64_t wp_peers_lag_ms(WPPeers *p, WPTime now)
 {
     wp_lag_record_local(&p->lag, wp_mirror_complete_revision(p->mirror));
     return wp_lag_ms(&p->lag, now);
 }
 
-void wp_peers_hurry(WPPeers *p, bool hurry)
+void wp_peers_set_fast_digests(WPPeers *p, bool fast)
 {
-    p->hurry = hurry;
+    p->fast_digests = fast;
 }
 
-void wp_peers_pull_far(WPPeers *p, bool far)
+void wp_peers_set_remote_full_pull(WPPeers *p, bool allowed)
 {
-    p->pulls_far = far;
+    p->remote_full_pull = allowed;
 }
 
-void wp_peers_reach_far(WPPeers *p, bool far)
+void wp_peers_set_remote_links(WPPeers *p, bool allowed)
 {
-    p->reaches_far = far;
+    p->remote_links = allowed;
 }
 
-void wp_peers_patience(WPPeers *p, uint32_t ms)
+void wp_peers_set_pull_delay(WPPeers *p, uint32_t ms)
 {
-    p->patience_ms = ms;
+    p->pull_delay_ms = ms;
 }
 
-uint32_t wp_peers_entries(const WPPeers *p)
+uint32_t wp_peers_max_entries(const WPPeers *p)
 {
-    return p->entries;
+    return p->max_entries;
 }
 
-unsigned wp_peers_known(const WPPeers *p)
+unsigned wp_peers_known_count(const WPPeers *p)
 {
     return 1 + MAX(g_hash_table_size(p->members), p->n_seeds);
 }
@@ -434,13 +448,13 @@
     return wp_hub_traffic(p->hub);
 }
 
-unsigned wp_peers_linked(const WPPeers *p)
+unsigned wp_peers_linked_count(const WPPeers *p)
 {
     return p->linked;
 }
 
 typedef struct Each {
-    WPPeersEach fn;
+    WPPeersEachFn fn;
     void *arg;
 } Each;
 
@@ -451,21 +465,21 @@
         e->fn(e->arg, l->peer, l->addr, l->peer_zone);
 }
 
-void wp_peers_each(WPPeers *p, WPPeersEach fn, void *arg)
+void wp_peers_each_linked(WPPeers *p, WPPeersEachFn fn, void *arg)
 {
     Each e = { fn, arg };
     wp_hub_each(p->hub, each_link, &e);
 }
 
-static void note_sighted(void *arg, WPLink *l)
+static void find_with_store(void *arg, WPLink *l)
 {
     bool *any = arg;
-    *any = *any || (l->peer && !l->peer_blind);
+    *any = *any || (l->peer && !l->peer_store_unavailable);
 }
 
-bool wp_peers_may_tell(const WPPeers *p)
+bool wp_peers_may_send_full_copy(const WPPeers *p)
 {
     bool any = false;
-    wp_hub_each(p->hub, note_sighted, &any);
+    wp_hub_each(p->hub, find_with_store, &any);
     return any;
 }
--- a/io/wp_peers.h
+++ b/io/wp_peers.h
@@ -1,5 +1,6 @@
-/* The direct entry's links to the other boxes: each tells the others how far
- * it knows the store, and brings those up to date that are behind. */
+/* Links between the boxes in direct mode. Each box sends digests of its copy
+ * of the store, and boxes that lag behind pull the missing entries from
+ * others. */
 #ifndef WP_PEERS_H
 #define WP_PEERS_H
 
@@ -10,127 +11,148 @@
 
 #include <event2/event.h>
 
-/* The entry of a box: where it is reached, "IP:PORT ZONE". */
+/* Key of a box's store entry; the value "IP:PORT ZONE" is its address. */
 #define WP_KEY_BOX "wp/box/"
 
 typedef struct WPPeers WPPeers;
 
 typedef struct WPPeersOps {
-    /* Entries that a box behind the store's answers lacked. */
+    /* Store entries that this box lacked, as another box has sent them. */
     void (*delta)(void *arg, const char *from, const Wp__MirrorDelta *d);
-    /* The same, but they cannot be read. */
+    /* A delta could not be decompressed. */
     void (*bad_delta)(void *arg, const char *from);
-    /* What else another box tells with each digest, and what this one does;
-       what `fill` points the digest to must outlive the call. */
-    void (*heard)(void *arg, const char *from, const Wp__MirrorDigest *d);
-    void (*fill)(void *arg, Wp__MirrorDigest *d);
-    /* A peer was reached or lost. */
-    void (*changed)(void *arg, const char *peer, bool up);
-    /* News of endpoints, of one box or passed on for all of the zone. */
-    void (*zone_news)(void *arg, const char *from, const Wp__ZoneNews *z);
-    /* News of requests under which endpoints have ended. */
-    void (*suspects)(void *arg, const char *from, const Wp__SuspectNews *n);
-    /* News of what endpoints say of themselves. */
-    void (*notices)(void *arg, const char *from, const Wp__NoticeNews *n);
-    /* Counts of usage; `far`: from a box of another zone. */
-    void (*usage)(void *arg, bool far, const Wp__UsageNews *n);
+    /* A digest has arrived; a digest is to be filled with what else this box
+       sends. Memory that `fill_digest` makes the digest point to must
+       outlive the call. */
+    void (*digest_received)(void *arg, const char *from,
+                            const Wp__MirrorDigest *d);
+    void (*fill_digest)(void *arg, Wp__MirrorDigest *d);
+    /* A peer was connected (`up`) or lost. */
+    void (*peer_changed)(void *arg, const char *peer, bool up);
+    /* Updates on endpoints, from one box or relayed for the whole zone. */
+    void (*zone_updates)(void *arg, const char *from, const Wp__ZoneNews *z);
+    /* Updates on requests that may crash endpoints. */
+    void (*suspect_updates)(void *arg, const char *from,
+                            const Wp__SuspectNews *n);
+    /* Updates on what endpoints report of themselves. */
+    void (*notice_updates)(void *arg, const char *from,
+                           const Wp__NoticeNews *n);
+    /* Usage counts; `remote_zone`: sent by a box of another zone. */
+    void (*usage_updates)(void *arg, bool remote_zone, const Wp__UsageNews *n);
 } WPPeersOps;
 
-/* Listens on the settings' `peers`. NULL and an error if that fails. */
+/* Listens on the setting `peers`. Returns NULL and sets `error` if that
+   fails. */
 WPPeers *wp_peers_new(struct event_base *base, const Wp__DirectSettings *s,
                       WPMirror *mirror, const WPPeersOps *ops, void *arg,
                       GError **error);
 void wp_peers_free(WPPeers *p);
 
-/* A box of `zone` is to be reached at `addr` (IP:PORT). */
-void wp_peers_member(WPPeers *p, const char *id, const char *addr,
-                     const char *zone);
+/* Adds a box, or updates its zone and the address (IP:PORT) to dial. */
+void wp_peers_set_member(WPPeers *p, const char *id, const char *addr,
+                         const char *zone);
 
-/* How many boxes of this zone come before this one, in an order that all boxes
-   share, of those that are linked and that the store answers: the first ones
-   do what one box of a zone must do for the others. */
+/* Returns the rank of this box in its zone: the number of boxes that precede
+   it in an order that all boxes share, out of those that are linked and that
+   the store answers. Boxes of low rank do the work that one box does for its
+   whole zone. */
 unsigned wp_peers_rank(const WPPeers *p);
 
-/* Whether the store answers some box that is linked to this one. */
-bool wp_peers_any_sighted(const WPPeers *p);
+/* Returns whether the store answers at least one box that is linked to this
+   one. */
+bool wp_peers_any_with_store(const WPPeers *p);
 
-/* Whether a box that is linked to this one may tell it all entries, by now or
-   soon: the store has not turned it away. */
-bool wp_peers_may_tell(const WPPeers *p);
+/* Returns whether a linked box may be able to send all entries, now or soon:
+   one that has not reported that the store does not answer it. */
+bool wp_peers_may_send_full_copy(const WPPeers *p);
 
-/* Whether this box watches the store for its zone. One does; for each that the
-   store has stopped answering two more, as the next one may be cut off too and
-   takes seconds to notice. `blind`: the store does not answer this box; then
-   two of those keep asking it. */
-bool wp_peers_on_duty(const WPPeers *p, bool blind);
+/* Returns whether this box is one of those that watch the store for the
+   zone. One box does, and two more for each box that the store has stopped
+   answering, as the next one may be cut off too and takes seconds to notice.
+   `store_unavailable`: the store does not answer this box; then two of these
+   boxes keep polling it. */
+bool wp_peers_is_designated_watcher(const WPPeers *p, bool store_unavailable);
 
-/* This box has learned something: tells the others at once. */
-void wp_peers_announce(WPPeers *p);
+/* Sends a digest to all linked boxes with the next tick, because the state
+   of this box has changed. */
+void wp_peers_schedule_digest(WPPeers *p);
 
-/* Sends news of endpoints to the box that passes them on in this zone; returns
-   false when there is none, or it is this one. */
-bool wp_peers_send_news(WPPeers *p, Wp__ZoneNews *z);
+/* Sends updates on endpoints to the relay root of this zone. Returns false
+   if there is none or this box is the root. */
+bool wp_peers_send_zone_updates(WPPeers *p, Wp__ZoneNews *z);
 
-/* Whether this box passes news on to the others of its zone: to some, which
-   pass it on in turn. */
-bool wp_peers_passes_news(const WPPeers *p);
-void wp_peers_pass_news(WPPeers *p, WPTime now, Wp__ZoneNews *z);
+/* Returns whether this box is the relay root of its zone, which relays
+   updates to some boxes that relay them in turn. */
+bool wp_peers_is_relay_root(const WPPeers *p);
 
-/* How many boxes are told by this one what is passed on. */
-unsigned wp_peers_feeds(const WPPeers *p, WPTime now);
+/* Sends updates to the relay children of this box. */
+void wp_peers_relay_updates(WPPeers *p, WPTime now, Wp__ZoneNews *z);
 
-/* The box that does; NULL: none is reached. */
-const char *wp_peers_passer(const WPPeers *p);
+/* Returns how many linked boxes this one relays updates to. */
+unsigned wp_peers_relay_child_count(const WPPeers *p, WPTime now);
 
-/* Sends counts of usage to that box; from there to some of each other zone. */
+/* Returns the id of the zone's relay root, possibly this box; NULL: none is
+   linked. */
+const char *wp_peers_relay_root(const WPPeers *p);
+
+/* Sends usage counts to the relay root of the zone; the root itself sends
+   them to some boxes of each other zone. */
 void wp_peers_send_usage(WPPeers *p, Wp__UsageNews *n);
 
-/* Sends news of requests to all that this box is linked to. */
+/* Sends updates on suspect requests to all linked boxes. */
 void wp_peers_send_suspects(WPPeers *p, Wp__SuspectNews *n);
 
-/* Sends news of what endpoints say to all that this box is linked to; to one of
-   them, if `to` is not NULL. */
+/* Sends updates on what endpoints report to all linked boxes, or only to the
+   box `to` if that is not NULL. */
 void wp_peers_send_notices(WPPeers *p, const char *to, Wp__NoticeNews *n);
 
+/* Closes silent links, connects to boxes, pulls missing entries and sends
+   digests that are due. */
 void wp_peers_tick(WPPeers *p, WPTime now);
 
-/* For how long others have known more than this box; 0: they do not. */
-int64_t wp_peers_behind_ms(WPPeers *p, WPTime now);
+/* Returns for how many milliseconds other boxes have had revisions that this
+   one lacks; 0: it lacks none. */
+int64_t wp_peers_lag_ms(WPPeers *p, WPTime now);
 
-/* Digests are due more often: what they carry besides is wanted soon. */
-void wp_peers_hurry(WPPeers *p, bool hurry);
+/* Sets whether digests are sent more often, because a shift needs what they
+   carry soon. */
+void wp_peers_set_fast_digests(WPPeers *p, bool fast);
 
-/* Whether a box that knows nothing may be told all by one of another zone. */
-void wp_peers_pull_far(WPPeers *p, bool far);
+/* Sets whether a box without any entries may pull all of them from another
+   zone. */
+void wp_peers_set_remote_full_pull(WPPeers *p, bool allowed);
 
-/* Whether this box keeps links to other zones, wherever it comes among those of
-   its own: a box that the store does not answer hears of an endpoint that
-   leaves from others alone. With its own zone's links alone it may hear from
-   one that is itself behind. */
-void wp_peers_reach_far(WPPeers *p, bool far);
+/* Sets whether this box keeps links to other zones whatever its rank in its
+   own. A box that the store does not answer learns only from other boxes
+   that an endpoint is draining; with links to its own zone alone it may
+   learn it from a box that itself lags behind. */
+void wp_peers_set_remote_links(WPPeers *p, bool allowed);
 
-/* How long what others know may be missing here before they are asked. */
-void wp_peers_patience(WPPeers *p, uint32_t ms);
+/* Sets how many milliseconds a revision may be missing before it is pulled
+   from another box. */
+void wp_peers_set_pull_delay(WPPeers *p, uint32_t ms);
 
-/* The most entries of the store that another box has told of. */
-uint32_t wp_peers_entries(const WPPeers *p);
+/* Returns the highest number of store entries that another box has reported. */
+uint32_t wp_peers_max_entries(const WPPeers *p);
 
-/* Boxes known, this one included. */
-unsigned wp_peers_known(const WPPeers *p);
+/* Returns the number of known boxes, this one included. */
+unsigned wp_peers_known_count(const WPPeers *p);
 
-/* Calls `fn` for each box that is linked, as it names itself. */
-typedef void (*WPPeersEach)(void *arg, const char *id, const char *addr,
-                            const char *zone);
-void wp_peers_each(WPPeers *p, WPPeersEach fn, void *arg);
+/* Calls `fn` for each linked box, with the id, address and zone of its
+   Hello. */
+typedef void (*WPPeersEachFn)(void *arg, const char *id, const char *addr,
+                              const char *zone);
+void wp_peers_each_linked(WPPeers *p, WPPeersEachFn fn, void *arg);
 
-/* The same for each other box that is known, and how often those changed. */
-void wp_peers_each_member(WPPeers *p, WPPeersEach fn, void *arg);
-uint32_t wp_peers_changes(const WPPeers *p);
+/* Calls `fn` for each other known box, linked or not. wp_peers_generation()
+   increases whenever that set changes. */
+void wp_peers_each_member(WPPeers *p, WPPeersEachFn fn, void *arg);
+uint32_t wp_peers_generation(const WPPeers *p);
 
-/* Bytes that went over links to other boxes. */
+/* Returns the bytes sent to and received from other boxes. */
 const WPTraffic *wp_peers_traffic(const WPPeers *p);
 
-/* Links that work at present. */
-unsigned wp_peers_linked(const WPPeers *p);
+/* Returns the number of links that are up. */
+unsigned wp_peers_linked_count(const WPPeers *p);
 
 #endif
--- a/io/wp_peers_int.h
+++ b/io/wp_peers_int.h
@@ -1,4 +1,4 @@
-/* What wp_peers.c, wp_peers_reach.c and wp_peers_zone.c share. */
+/* Shared by wp_peers.c, wp_peers_connect.c and wp_peers_relay.c. */
 #ifndef WP_PEERS_INT_H
 #define WP_PEERS_INT_H
 
@@ -8,24 +8,31 @@
 #include "wp_full_sync_limit.h"
 
 enum {
-    WP_PEERS_SILENT_MS = 3000,  /* a link that is silent so long is closed */
-    WP_PEERS_CONNECT_MS = 1000, /* between attempts to reach the same box */
-    WP_PEERS_ALL_LINKED = 10 /* a zone's boxes are all linked up to this many;
-                                beyond, each reaches some at growing distances
-                                in the order of ids, and news takes some hops */
+    /* a link that is silent for so long is closed */
+    WP_PEERS_SILENCE_TIMEOUT_MS = 3000,
+    /* between attempts to connect to the same box */
+    WP_PEERS_RECONNECT_MS = 1000,
+    /* up to this many boxes of a zone are all linked to each other; beyond,
+       each dials some at growing distances in the order of ids, and updates
+       take some hops */
+    WP_PEERS_FULL_MESH_MAX = 10
 };
 
 typedef struct WPPeerMember {
     char *id, *addr, *zone;
-    int64_t tried_us;
-    int64_t unlinked_us; /* since when there is no link; 0: there is one */
+    int64_t dialed_us;
+    /* since when there has been no link; 0: there is one */
+    int64_t unlinked_us;
     bool linked;
-    uint64_t
-        news_no; /* of the last news sent to it: two links may lead there */
-    int64_t fed_until_us; /* until then it is sent what is passed on */
-    bool heard;           /* a digest has come */
-    bool blind;           /* the store does not answer it, by its last digest */
-    uint64_t knows;       /* all revisions up to this, by its last digest */
+    /* WPPeers.update_no of the last update sent to it, so that it goes only
+       once if two links lead there */
+    uint64_t last_update_no;
+    int64_t child_until_us; /* relayed updates are sent to it until then */
+    bool digest_seen;       /* a digest has arrived */
+    /* the store does not answer it, from its last digest */
+    bool store_unavailable;
+    /* it has all revisions up to this one, from its last digest */
+    uint64_t revision;
 } WPPeerMember;
 
 struct WPPeers {
@@ -36,58 +43,71 @@
     const WPPeersOps *ops;
     void *arg;
     GHashTable *members; /* id -> WPPeerMember */
-    uint32_t changes;    /* of that table */
-    GPtrArray *seeds;    /* addresses */
+    uint32_t generation; /* increases with each change of `members` */
+    /* addresses from the settings, dialed while there are no links */
+    GPtrArray *seeds;
     unsigned n_seeds;
     int64_t digest_us;
-    uint64_t told;        /* revision of the last digest */
-    bool dirty;           /* a digest is due now */
-    bool hurry;           /* digests more often */
-    uint32_t patience_ms; /* before the others are asked */
-    WPLag lag;            /* revisions that others know and this box does not */
+    uint64_t digest_revision; /* unused */
+    bool digest_due;          /* a digest is to be sent with the next tick */
+    /* digests are sent every 250 ms instead of every second */
+    bool fast_digests;
+    /* a revision may be missing for so long before it is pulled from another
+       box */
+    uint32_t pull_delay_ms;
+    WPLag lag; /* revisions that others have and this box lacks */
     int64_t pulled_us;
-    unsigned pulls; /* in a row that brought nothing */
-    uint64_t behind_link;
-    WPFullSyncLimit tell;
-    int64_t partial_us; /* when a box named those of its zone instead of telling
-                           all; 0: none has */
-    bool pulls_far;     /* all entries, if need be */
-    bool reaches_far;   /* links to other zones, in any case */
-    uint32_t entries;   /* the most that another box has told of */
+    unsigned unanswered_pulls; /* consecutive pulls without an answer */
+    uint64_t ahead_link_id;
+    WPFullSyncLimit full_sync_limit;
+    /* when a box last named others of this zone to ask instead of sending
+       all entries; 0: never */
+    int64_t partial_us;
+    bool remote_full_pull; /* all entries may be pulled from other zones */
+    bool remote_links;     /* links to other zones are kept whatever the rank */
+    /* highest number of store entries reported by another box */
+    uint32_t max_entries;
     unsigned linked;
-    int64_t seeds_us;
-    const WPPeerMember *passer; /* passes news on in this zone; NULL: none is
-                                   reached, or this box does */
-    bool passes;                /* this box does */
-    const WPPeerMember *feeder; /* what is passed on comes from there; NULL:
-                                   nothing does */
-    bool zone_is_large;         /* its boxes are not all linked */
-    int64_t wanted_us;          /* when it was last asked to send it */
-    uint64_t news_no;           /* of the last message of news */
+    int64_t seeds_dialed_us;
+    /* root of this zone's relay tree; NULL: none is linked, or this box is
+       it */
+    const WPPeerMember *relay_root;
+    bool is_relay_root; /* this box is the root */
+    /* relayed updates come from it; NULL: there is none */
+    const WPPeerMember *relay_parent;
+    bool zone_is_large; /* too many boxes for a full mesh */
+    /* when it last subscribed at the relay parent */
+    int64_t subscribed_us;
+    uint64_t update_no; /* number of the last update sent */
 };
 
-/* Whether `every_ms` have passed since `at_us`, which is then set to now. */
+/* Returns whether `every_ms` have passed since `at_us`, or `at_us` is 0; if
+   so, sets it to now. */
 bool wp_peers_is_due(int64_t *at_us, WPTime now, int64_t every_ms);
 
-/* Links to all boxes that this one is to be linked to, and to the settings'
-   when it has none. */
-void wp_peers_reach(WPPeers *p, WPTime now);
+/* Dials all boxes that this one is to be linked to, and the seeds of the
+   settings while it has no links. */
+void wp_peers_connect(WPPeers *p, WPTime now);
 
-/* Whether a box comes before this one, in the order by which boxes take on
-   work for their zone. */
+/* Returns whether a box precedes this one in the order in which boxes take
+   on work for their zone. */
 bool wp_peers_is_before(const WPPeers *p, const WPPeerMember *m);
 
-/* Tries to link to a box, at once if it is this one's turn to dial. */
+/* Connects to a box if there is no link and WP_PEERS_RECONNECT_MS have
+   passed since the last attempt: at once if `mine`, otherwise only after a
+   while, as the other box is expected to connect. */
 void wp_peers_dial(WPPeers *p, WPPeerMember *m, WPTime now, bool mine);
 
-/* wp_peers_zone.c: which box passes news on in this zone, and from which one
-   this box has it. */
-void wp_peers_choose_passer(WPPeers *p, WPTime now);
+/* wp_peers_relay.c: chooses the relay root of this zone and the relay parent
+   of this box, and subscribes at the parent. */
+void wp_peers_choose_relay(WPPeers *p, WPTime now);
 
-/* A member is about to be freed. */
-void wp_peers_forget_passer(WPPeers *p, const WPPeerMember *m);
+/* Drops references to a member that is about to be freed. */
+void wp_peers_forget_relay(WPPeers *p, const WPPeerMember *m);
 
-/* News along a link: goes on to those that want it from this box. */
-void wp_peers_take_news(WPPeers *p, WPLink *l, WPTime now, Wp__ZoneNews *z);
+/* Handles updates of the zone that arrive on a link: records a subscription,
+   and relays them to the children. */
+void wp_peers_receive_zone_updates(WPPeers *p, WPLink *l, WPTime now,
+                                   Wp__ZoneNews *z);
 
 #endif
--- a/io/wp_reports.c
+++ b/io/wp_reports.c
@@ -3,7 +3,7 @@
 #include "wp_duty.h"
 #include "wp_http.h"
 #include "wp_pb.h"
-#include "wp_usage_news.h"
+#include "wp_usage_updates.h"
 
 #include <stdio.h>
 
@@ -17,7 +17,7 @@
 struct WPReports {
     WPSync *sync;
     WPUsage *usage;
-    WPUsageNews *news;
+    WPUsageUpdates *news;
     WPDuty *duty;
     char *box; /* settings go when they are read anew */
     WPHttp *service;
@@ -43,9 +43,9 @@
 static WPDutyFit fit_of(const WPReports *r)
 {
     const WPSync *s = r->sync;
-    if (!s->up || !s->complete)
+    if (!s->store_up || !s->complete)
         return WP_DUTY_CANNOT;
-    bool fit = !s->host->leaving && wp_peers_passes_news(s->peers);
+    bool fit = !s->host->leaving && wp_peers_is_relay_root(s->peers);
     return fit ? WP_DUTY_MAY : WP_DUTY_YIELDS;
 }
 
@@ -80,19 +80,20 @@
         wp_count(counters_of(r), WP_C_STORE_ERRORS);
     wp_duty_written(r->duty, now, done, res->revision);
     if (done)
-        wp_news_take(r->sync, WP_KEY_DUTY, &value, res->revision, false);
+        wp_store_apply(r->sync, WP_KEY_REPORT_LEASE, &value, res->revision,
+                       false);
     for (size_t i = 0; i < res->n_items; i++)
-        wp_news_take(r->sync, res->items[i].key.p, &res->items[i].value,
-                     res->items[i].mod_revision, false);
+        wp_store_apply(r->sync, res->items[i].key.p, &res->items[i].value,
+                       res->items[i].mod_revision, false);
     g_clear_pointer(&r->value, g_byte_array_unref);
 }
 
 static void write_record(WPReports *r, const WPDutyAct *a)
 {
     WPSync *s = r->sync;
-    const WPKvCompare compare = { WP_KEY_DUTY, a->revision };
+    const WPKvCompare compare = { WP_KEY_REPORT_LEASE, a->revision };
     r->value = wp_pb_pack(&a->record->base);
-    const WPKvOp op = { WP_KEY_DUTY,
+    const WPKvOp op = { WP_KEY_REPORT_LEASE,
                         wp_strn((const char *)r->value->data, r->value->len),
                         false };
     wp_count(counters_of(r), WP_C_STORE_WRITES);
@@ -166,7 +167,7 @@
 void wp_reports_tick(WPReports *r, WPTime now)
 {
     WPDutyAct a;
-    wp_usage_news_tick(r->news, now);
+    wp_usage_updates_tick(r->news, now);
     wp_duty_next(r->duty, now, fit_of(r), &a);
     if (a.kind == WP_DUTY_WRITE)
         write_record(r, &a);
@@ -178,7 +179,7 @@
 
 void wp_reports_heard(WPReports *r, bool far, const Wp__UsageNews *n)
 {
-    wp_usage_news_heard(r->news, far, n);
+    wp_usage_updates_merge(r->news, far, n);
 }
 
 void wp_reports_peer(WPReports *r)
@@ -257,15 +258,15 @@
     r->sync = s;
     r->service = service;
     r->box = g_strdup(set->id);
-    r->usage =
-        wp_usage_new(s->life, window_ms, late_ms + KEEP_WINDOWS * window_ms);
+    r->usage = wp_usage_new(s->incarnation, window_ms,
+                            late_ms + KEEP_WINDOWS * window_ms);
     wp_usage_start_clock(r->usage, now);
-    r->news = wp_usage_news_new(s->peers, r->usage);
+    r->news = wp_usage_updates_new(s->peers, r->usage);
     const WPDutyRules rules = { .box = r->box,
                                 .window_ms = window_ms,
                                 .late_ms = late_ms,
                                 .lease_ms = (uint32_t)set->duty_lease_ms,
-                                .haste = s->fresh.jitter };
+                                .haste = s->staleness.jitter };
     r->duty = wp_duty_new(&rules, r->usage, now);
     s->host->direct.usage = r->usage;
     return r;
@@ -277,7 +278,7 @@
         return;
     r->sync->host->direct.usage = NULL;
     wp_http_free(r->service);
-    wp_usage_news_free(r->news);
+    wp_usage_updates_free(r->news);
     wp_duty_free(r->duty);
     wp_usage_free(r->usage);
     if (r->value)
--- a/io/wp_runner.c
+++ b/io/wp_runner.c
@@ -1,4 +1,5 @@
-/* Jobs from entries, and the agent's place in the host. */
+/* Runs the jobs that entries send to an agent, and implements the agent's
+ * role in the host. */
 #include "wp_runner_int.h"
 #include "wp_pb.h"
 
@@ -17,7 +18,7 @@
     r->link = l;
     r->window = j->start->window;
     j->io = r;
-    l->streams++;
+    l->in_flight++;
     wp_list_append(&owner->jobs, &r->node);
     return r;
 }
@@ -26,13 +27,13 @@
 {
     wp_list_remove(&r->node);
     if (r->link)
-        r->link->streams--;
+        r->link->in_flight--;
     wp_engine_abort(r);
-    if (r->pause)
-        event_free(r->pause);
+    if (r->pause_event)
+        event_free(r->pause_event);
     wp_sse_end(&r->sse);
-    if (r->copy)
-        g_byte_array_unref(r->copy);
+    if (r->answer_copy)
+        g_byte_array_unref(r->answer_copy);
     wp_job_free(r->job);
     g_free(r);
 }
@@ -59,21 +60,21 @@
     wp_run_send(r, &f);
 }
 
-static void begin(WPRun *r)
+static void accept_run(WPRun *r)
 {
     Wp__Frame f = WP__FRAME__INIT;
     Wp__Accept a = WP__ACCEPT__INIT;
     f.body_case = WP__FRAME__BODY_ACCEPT;
     f.accept = &a;
     wp_run_send(r, &f);
-    wp_engine_begin(r);
+    wp_engine_start(r);
 }
 
-static void follow(WPRun *r, const WPVerdict *v)
+static void apply_decision(WPRun *r, const WPVerdict *v)
 {
     switch (v->kind) {
     case WP_VERDICT_RUN:
-        begin(r);
+        accept_run(r);
         break;
     case WP_VERDICT_REFUSE:
         wp_run_refuse(r, v->code, wp_code_info(v->code)->ran, v->retry_ms);
@@ -85,17 +86,17 @@
     }
 }
 
-/* Starts what a free place or a new configuration lets start. */
-static void drain(WPRunner *owner)
+/* Starts jobs that a free slot or a new configuration allows to start. */
+static void start_ready_jobs(WPRunner *owner)
 {
     WPVerdict v;
     WPJob *j;
-    if (owner->draining)
+    if (owner->starting_jobs)
         return;
-    owner->draining = true;
+    owner->starting_jobs = true;
     while ((j = wp_agent_next(owner->agent, now_of(owner), &v)))
-        follow(j->io, &v);
-    owner->draining = false;
+        apply_decision(j->io, &v);
+    owner->starting_jobs = false;
 }
 
 static void usage_of(const WPRun *r, uint32_t *prompt, uint32_t *answer)
@@ -108,15 +109,15 @@
         *answer = r->sse.answer_tokens;
     } else if (s->stream) {
         *answer = r->sse.events;
-    } else if (r->copy &&
-               !wp_sse_parse_usage(
-                   wp_strn((const char *)r->copy->data, r->copy->len), prompt,
-                   answer)) {
-        *answer = 1; /* a plain service: one call */
+    } else if (r->answer_copy &&
+               !wp_sse_parse_usage(wp_strn((const char *)r->answer_copy->data,
+                                           r->answer_copy->len),
+                                   prompt, answer)) {
+        *answer = 1; /* non-streaming service: one call */
     }
 }
 
-void wp_run_finished(WPRun *r, bool whole)
+void wp_run_finished(WPRun *r, bool complete)
 {
     WPRunner *owner = r->runner;
     Wp__Frame f = WP__FRAME__INIT;
@@ -127,24 +128,24 @@
     usage.has_answer_tokens = 1;
     end.usage = &usage;
     end.has_whole = 1;
-    end.whole = whole;
+    end.whole = complete;
     end.bill_seq =
-        wp_agent_ended(owner->agent, now_of(owner), r->job, true, whole,
+        wp_agent_ended(owner->agent, now_of(owner), r->job, true, complete,
                        usage.prompt_tokens, usage.answer_tokens);
     f.body_case = WP__FRAME__BODY_END;
     f.end = &end;
     wp_run_send(r, &f);
     free_run(r);
-    drain(owner);
+    start_ready_jobs(owner);
 }
 
-void wp_run_not_begun(WPRun *r, WPCode code, uint32_t retry_ms)
+void wp_run_not_started(WPRun *r, WPCode code, uint32_t retry_ms)
 {
     WPRunner *owner = r->runner;
     wp_agent_ended(owner->agent, now_of(owner), r->job, false, false, 0, 0);
     wp_run_refuse(r, code, WP_RAN_NOT_RUN, retry_ms);
     free_run(r);
-    drain(owner);
+    start_ready_jobs(owner);
 }
 
 static WPRun *find_run(WPRunner *owner, const WPLink *l, uint64_t stream)
@@ -157,11 +158,11 @@
     return NULL;
 }
 
-/* Nobody waits for the answer any more. */
-static void give_up(WPRun *r)
+/* Ends a run whose caller does not wait for the answer any more. */
+static void abandon_run(WPRun *r)
 {
     WPRunner *owner = r->runner;
-    if (!r->begun) {
+    if (!r->started) {
         wp_agent_dropped(owner->agent, now_of(owner), r->job);
         free_run(r);
         return;
@@ -179,12 +180,12 @@
 {
     WPVerdict v;
     Wp__Start *start = f->start;
-    f->start = NULL; /* taken over */
+    f->start = NULL; /* the job takes ownership */
     f->body_case = WP__FRAME__BODY__NOT_SET;
     WPJob *j = wp_agent_start(owner->agent, now_of(owner), start, l->id,
                               f->stream, f->revision, &v);
-    follow(new_run(owner, l, j), &v);
-    drain(owner);
+    apply_decision(new_run(owner, l, j), &v);
+    start_ready_jobs(owner);
 }
 
 static void role_frame(void *role, WPLink *l, Wp__Frame *f)
@@ -198,8 +199,8 @@
     case WP__FRAME__BODY_CANCEL:
         r = find_run(owner, l, f->stream);
         if (r)
-            give_up(r);
-        drain(owner);
+            abandon_run(r);
+        start_ready_jobs(owner);
         break;
     case WP__FRAME__BODY_HANDOVER:
         wp_agent_handed(owner->agent, now_of(owner), f->handover);
@@ -216,8 +217,9 @@
     }
 }
 
-/* What may not be repeated is finished, though nobody will read it; a cut in
-   its middle would help no one. */
+/* A request that may not be repeated runs to its end although nobody will
+   read the answer: aborting it half-way would help no one. Other runs of the
+   lost link are abandoned. */
 static void role_link_down(void *role, WPLink *l)
 {
     WPRunner *owner = role;
@@ -225,23 +227,23 @@
         WPRun *r = wp_list_item(it, WPRun, node);
         if (r->link != l)
             continue;
-        if (r->begun && r->job->holds_key) {
-            l->streams--;
+        if (r->started && r->job->holds_key) {
+            l->in_flight--;
             r->link = NULL;
             r->window = INT64_MAX / 2;
             wp_engine_resume(r);
         } else {
-            give_up(r);
+            abandon_run(r);
         }
     }
-    drain(owner);
+    start_ready_jobs(owner);
 }
 
 static void role_refresh(void *role, WPTime now)
 {
     WPRunner *r = role;
     wp_agent_refresh(r->agent, now);
-    drain(r);
+    start_ready_jobs(r);
 }
 
 static void role_load(void *role, Wp__Load *out)
@@ -252,7 +254,7 @@
 static void send_handover(void *arg, const char *addr, const Wp__Handover *h)
 {
     WPRunner *r = arg;
-    WPLink *l = wp_hub_link(wp_host_hub(r->host), addr);
+    WPLink *l = wp_hub_get_link(wp_host_hub(r->host), addr);
     Wp__Frame f = WP__FRAME__INIT;
     f.body_case = WP__FRAME__BODY_HANDOVER;
     f.handover = (Wp__Handover *)h;
@@ -264,11 +266,11 @@
 {
     WPRunner *r = role;
     wp_agent_offer(r->agent, now, send_handover, r);
-    wp_engine_trim(role);
-    drain(role);
+    wp_engine_close_surplus(role);
+    start_ready_jobs(role);
 }
 
-static void tell_load(void *arg, WPLink *l)
+static void send_load(void *arg, WPLink *l)
 {
     Wp__Frame f = WP__FRAME__INIT;
     Wp__Pong p = WP__PONG__INIT;
@@ -278,13 +280,14 @@
     wp_link_send(l, &f);
 }
 
-/* Entries are told directly; the platform's list lags. */
-static void role_leave(void *role, WPTime now)
+/* Entries are notified directly, because the platform's registry lags
+   behind. */
+static void role_drain(void *role, WPTime now)
 {
     WPRunner *r = role;
     wp_agent_leave(r->agent, now);
     wp_agent_hand_over(r->agent, now, send_handover, r);
-    wp_hub_each(wp_host_hub(r->host), tell_load, NULL);
+    wp_hub_each(wp_host_hub(r->host), send_load, NULL);
 }
 
 static bool role_idle(void *role)
@@ -297,7 +300,7 @@
     return wp_agent_bills(((WPRunner *)role)->agent);
 }
 
-static void tell_settled(void *arg, WPLink *l)
+static void send_settled(void *arg, WPLink *l)
 {
     WPRunner *r = arg;
     Wp__Frame f = WP__FRAME__INIT;
@@ -311,7 +314,7 @@
 static void role_bills_settled(void *role)
 {
     WPRunner *r = role;
-    wp_hub_each(wp_host_hub(r->host), tell_settled, r);
+    wp_hub_each(wp_host_hub(r->host), send_settled, r);
 }
 
 static void role_status(void *role, json_t *into)
@@ -331,7 +334,7 @@
     .link_down = role_link_down,
     .load = role_load,
     .tick = role_tick,
-    .leave = role_leave,
+    .leave = role_drain,
     .idle = role_idle,
     .bills = role_bills,
     .bills_settled = role_bills_settled,
--- a/io/wp_runner.h
+++ b/io/wp_runner.h
@@ -1,5 +1,5 @@
-/* The agent daemon's part between entries and the endpoint: it moves bytes
- * and does what the agent's decisions say. */
+/* The part of the agent daemon between entries and the endpoint: transfers
+ * requests and answers and carries out the decisions of the agent. */
 #ifndef WP_RUNNER_H
 #define WP_RUNNER_H
 
@@ -8,6 +8,8 @@
 
 typedef struct WPRunner WPRunner;
 
+/* Creates the runner and its agent and registers it as the role of the host.
+   Returns NULL and sets `error` if the endpoint's address is malformed. */
 WPRunner *wp_runner_new(WPHost *h, const Wp__AgentSettings *s, GError **error);
 void wp_runner_free(WPRunner *r);
 
--- a/io/wp_runner_int.h
+++ b/io/wp_runner_int.h
@@ -1,4 +1,5 @@
-/* Shared by the runner's two sides. */
+/* Shared by wp_runner.c (links to entries) and wp_engine.c (connections to
+ * the endpoint). */
 #ifndef WP_RUNNER_INT_H
 #define WP_RUNNER_INT_H
 
@@ -12,46 +13,63 @@
     const Wp__AgentSettings *settings;
     char *endpoint_host;
     uint16_t endpoint_port;
-    WPList jobs; /* of WPRun */
-    GQueue idle; /* of WPEngineCon */
-    GQueue dead; /* of WPEngineCon, to be closed at the next tick */
-    bool draining;
+    WPList jobs;        /* of WPRun */
+    GQueue idle;        /* of WPEngineCon, for reuse */
+    GQueue dead;        /* of WPEngineCon, closed at the next tick */
+    bool starting_jobs; /* guards start_ready_jobs() against recursion */
 };
 
-/* A kept connection to the endpoint. */
+/* A persistent connection to the endpoint. */
 typedef struct WPEngineCon {
     struct evhttp_connection *con;
     struct bufferevent *bev;
-    bool written; /* bytes of the present request have left */
+    bool written; /* bytes of the current request have been sent */
 } WPEngineCon;
 
-/* One job's bytes. */
+/* The transfer of one job's request and answer. */
 typedef struct WPRun {
     WPList node;
     WPRunner *runner;
     WPJob *job;
-    WPLink *link; /* NULL once the entry has gone */
+    WPLink *link; /* NULL once the entry is gone */
     WPEngineCon *con;
     struct evhttp_request *request;
-    struct event *pause;
+    struct event *pause_event;
     WPSse sse;
-    GByteArray *copy; /* a plain answer, kept for its usage */
-    int64_t window;   /* bytes the entry can take */
+    /* a non-streaming answer, kept to read its usage */
+    GByteArray *answer_copy;
+    int64_t window; /* bytes that the entry can still accept */
     int status;
-    bool begun, head_sent, paused;
+    bool started, head_sent, paused;
 } WPRun;
 
 /* wp_runner.c: the side of the entries. */
+
+/* Sends a frame of this run to its entry; does nothing if the entry is gone. */
 void wp_run_send(WPRun *r, Wp__Frame *f);
+
+/* Sends a refusal with an error code, whether the request ran, and after how
+   many milliseconds to retry. */
 void wp_run_refuse(WPRun *r, WPCode code, WPRan ran, uint32_t retry_ms);
-void wp_run_finished(WPRun *r, bool whole);
-void wp_run_not_begun(WPRun *r, WPCode code, uint32_t retry_ms);
+
+/* Reports the end of the answer, which is `complete` or was aborted, with its
+   usage; frees the run and starts jobs that were queued. */
+void wp_run_finished(WPRun *r, bool complete);
+
+/* Refuses a request that did not run at the endpoint; frees the run and starts
+   jobs that were queued. */
+void wp_run_not_started(WPRun *r, WPCode code, uint32_t retry_ms);
 
 /* wp_engine.c: the side of the endpoint. */
-void wp_engine_begin(WPRun *r);
-void wp_engine_abort(WPRun *r); /* cancels at the endpoint */
+
+/* Sends the job's request to the endpoint. */
+void wp_engine_start(WPRun *r);
+void wp_engine_abort(WPRun *r); /* cancels the request at the endpoint */
+
+/* Continues to read an answer that was paused, if the window allows it. */
 void wp_engine_resume(WPRun *r);
 void wp_engine_close_idle(WPRunner *r);
-void wp_engine_trim(WPRunner *r); /* closes what failed or is too many */
+/* closes failed connections and surplus idle ones */
+void wp_engine_close_surplus(WPRunner *r);
 
 #endif
--- a/io/wp_news.c
+++ b/io/wp_store_apply.c
@@ -1,12 +1,12 @@
-/* What the entries of the store mean for the router, wherever they were
- * learned. */
+/* Applies store entries to the state of the router, whether they come from
+ * the store or from another box. */
 #include "wp_reports.h"
 #include "wp_sync_int.h"
 
 #include <stdio.h>
 #include <stdlib.h>
 
-static void take_routes(WPSync *s, WPRoutes *t)
+static void apply_routes(WPSync *s, WPRoutes *t)
 {
     WPDirectHost *h = s->host;
     char version[24];
@@ -17,8 +17,9 @@
     wp_log(&h->log, WP_INFO, "routes", "version", version, NULL);
 }
 
-/* An entry that is of no use; one of an endpoint takes it out of use. */
-static void refuse_entry(WPSync *s, const char *key, const char *endpoint,
+/* Logs an invalid store entry. If it describes an endpoint, that endpoint
+   gets no more requests. */
+static void reject_entry(WPSync *s, const char *key, const char *endpoint,
                          const char *problem)
 {
     if (endpoint)
@@ -28,11 +29,11 @@
            problem, NULL);
 }
 
-static void take_endpoint(WPSync *s, const char *key, const WPRegistryEntry *l)
+static void apply_endpoint(WPSync *s, const char *key, const WPRegistryEntry *l)
 {
     const char *problem = wp_registry_entry_invalid_field(l);
     if (problem) {
-        refuse_entry(s, key, l->id, problem);
+        reject_entry(s, key, l->id, problem);
         return;
     }
     wp_shifts_note_registered(s->host->direct.shifts, l->service, l->version,
@@ -48,17 +49,17 @@
            l->draining ? "draining" : "ready", NULL);
 }
 
-static void lose_endpoint(WPSync *s, const char *id, bool lapsed)
+static void remove_endpoint(WPSync *s, const char *id, bool lapsed)
 {
     WPTime now = wp_clock_now(0);
     if (!wp_fleet_find(s->host->direct.fleet, id))
         return;
     wp_log(&s->host->log, WP_INFO, "endpoint_missing", "id", id, "kept",
-           lapsed ? "for a while: the store was away" : "no", NULL);
+           lapsed ? "for a while: the store was unavailable" : "no", NULL);
     wp_fleet_remove(s->host->direct.fleet, now, id, lapsed);
 }
 
-static void take_zone(WPSync *s, const char *zone, bool out)
+static void apply_zone_evacuation(WPSync *s, const char *zone, bool out)
 {
     if (wp_fleet_set_zone_evacuated(s->host->direct.fleet, wp_clock_now(0),
                                     zone, out))
@@ -66,29 +67,29 @@
                zone, NULL);
 }
 
-static void take_order(WPSync *s, const WPShiftOrder *o)
+static void apply_order(WPSync *s, const WPShiftOrder *o)
 {
     if (wp_shifts_add_order(s->host->direct.shifts, wp_clock_now(0), o))
         wp_log(&s->host->log, WP_INFO, "move_ordered", "service", o->service,
                "version", o->version, NULL);
 }
 
-static void take_outcome(WPSync *s, const WPNews *n)
+static void apply_outcome(WPSync *s, const WPNews *n)
 {
     WPShifts *shifts = s->host->direct.shifts;
     WPShift *sh = wp_shifts_find(shifts, n->order.service);
-    WPShiftState had = sh ? sh->state : WP_SHIFT_RUNNING;
+    WPShiftState previous = sh ? sh->state : WP_SHIFT_RUNNING;
     wp_shifts_apply_outcome(shifts, &n->order, n->state);
-    if (!sh || sh->state == had)
+    if (!sh || sh->state == previous)
         return;
-    g_autofree char *figures = wp_shift_stats_text(sh, wp_clock_now(0));
+    g_autofree char *stats = wp_shift_stats_text(sh, wp_clock_now(0));
     wp_log(&s->host->log, WP_INFO, "move_ended", "service", sh->service,
            "version", sh->version, "state", wp_shift_state_name(sh->state),
-           "figures", figures, NULL);
+           "figures", stats, NULL);
 }
 
-/* This system's own record that a move has begun. */
-static void take_began(WPSync *s, const char *service, WPStr value)
+/* Applies the router's own store entry that marks a shift as begun. */
+static void apply_shift_began(WPSync *s, const char *service, WPStr value)
 {
     WPShift *sh = wp_shifts_find(s->host->direct.shifts, service);
     g_autofree char *text = g_strndup(value.p, value.n);
@@ -97,33 +98,34 @@
         wp_shift_merge_elapsed(sh, wp_clock_now(0), 0);
 }
 
-/* Returns whether the key is one of the system's own. */
-static bool take_own(WPSync *s, const char *key, const WPStr *value,
-                     uint64_t revision)
+/* Applies an entry whose key belongs to the router itself. Returns false if
+   the key is not one of these. */
+static bool apply_own_entry(WPSync *s, const char *key, const WPStr *value,
+                            uint64_t revision)
 {
-    bool duty = !strcmp(key, WP_KEY_DUTY);
+    bool is_lease = !strcmp(key, WP_KEY_REPORT_LEASE);
     const char *box = wp_skip_prefix(key, WP_KEY_BOX);
-    const char *service = wp_skip_prefix(key, WP_KEY_BEGAN);
-    const char *seen = wp_skip_prefix(key, WP_KEY_SEEN);
+    const char *service = wp_skip_prefix(key, WP_KEY_SHIFT_BEGAN);
+    const char *record = wp_skip_prefix(key, WP_KEY_SHIFT_RECORD);
     const char *suspect = wp_skip_prefix(key, WP_KEY_SUSPECT);
     if (box && value) {
         WPStr zone = *value, addr = wp_str_cut(&zone, ' ');
         g_autofree char *a = g_strndup(addr.p, addr.n);
         g_autofree char *z = g_strndup(zone.p, zone.n);
-        wp_peers_member(s->peers, box, a, z);
+        wp_peers_set_member(s->peers, box, a, z);
     }
     if (service && value)
-        take_began(s, service, *value);
-    if (seen && value)
-        wp_seen_take(s, seen, *value);
+        apply_shift_began(s, service, *value);
+    if (record && value)
+        wp_shift_record_apply(s, record, *value);
     if (suspect)
-        wp_suspect_news_take(s, suspect, value);
-    if (duty && s->reports)
+        wp_suspect_record_apply(s, suspect, value);
+    if (is_lease && s->reports)
         wp_reports_record(s->reports, value, revision);
-    return box || service || seen || suspect || duty;
+    return box || service || record || suspect || is_lease;
 }
 
-static void take_platform(WPSync *s, const WPKvItem *i, bool lapsed)
+static void apply_platform_entry(WPSync *s, const WPKvItem *i, bool lapsed)
 {
     WPNews n;
     s->host->platform->news(i, &n);
@@ -131,37 +133,37 @@
     case WP_NEWS_NONE:
         break;
     case WP_NEWS_BAD:
-        refuse_entry(s, i->key.p, n.listing.id, n.problem);
+        reject_entry(s, i->key.p, n.listing.id, n.problem);
         break;
     case WP_NEWS_ROUTES:
-        take_routes(s, n.routes);
+        apply_routes(s, n.routes);
         break;
     case WP_NEWS_ENDPOINT:
-        take_endpoint(s, i->key.p, &n.listing);
+        apply_endpoint(s, i->key.p, &n.listing);
         break;
     case WP_NEWS_GONE:
-        lose_endpoint(s, n.listing.id, lapsed);
+        remove_endpoint(s, n.listing.id, lapsed);
         break;
     case WP_NEWS_ORDER:
-        take_order(s, &n.order);
+        apply_order(s, &n.order);
         break;
     case WP_NEWS_OUTCOME:
-        take_outcome(s, &n);
+        apply_outcome(s, &n);
         break;
     case WP_NEWS_ZONE_OUT:
     case WP_NEWS_ZONE_BACK:
-        take_zone(s, n.zone, n.kind == WP_NEWS_ZONE_OUT);
+        apply_zone_evacuation(s, n.zone, n.kind == WP_NEWS_ZONE_OUT);
         break;
     }
     s->host->platform->news_end(&n);
 }
 
-void wp_news_take(WPSync *s, const char *key, const WPStr *value,
-                  uint64_t revision, bool lapsed)
+void wp_store_apply(WPSync *s, const char *key, const WPStr *value,
+                    uint64_t revision, bool lapsed)
 {
     WPKvItem i = { wp_str(key), value ? *value : wp_str(""), revision, !value };
     if (!wp_mirror_put(s->mirror, key, value, revision, lapsed))
         return;
-    if (!take_own(s, key, value, revision))
-        take_platform(s, &i, lapsed);
+    if (!apply_own_entry(s, key, value, revision))
+        apply_platform_entry(s, &i, lapsed);
 }
--- a/io/wp_store_writer.c
+++ b/io/wp_store_writer.c
@@ -31,8 +31,8 @@
     }
     /* The present values are applied like those that other boxes write. */
     for (size_t i = 0; i < r->n_items; i++)
-        wp_news_take(s, r->items[i].key.p, &r->items[i].value,
-                     r->items[i].mod_revision, false);
+        wp_store_apply(s, r->items[i].key.p, &r->items[i].value,
+                       r->items[i].mod_revision, false);
     /* The watch will report what was written; until then the write is not
        repeated. */
     s->write_after_us = now.mono_us + (int64_t)RETRY_MS * WP_US_PER_MS;
@@ -61,7 +61,8 @@
     const WPPlatformOps *platform = s->host->platform;
     g_autofree char *order_key = platform->order_key(sh->service);
     g_autofree char *key = platform->outcome_key(sh->service);
-    g_autofree char *started_key = g_strconcat(WP_KEY_BEGAN, sh->service, NULL);
+    g_autofree char *started_key =
+        g_strconcat(WP_KEY_SHIFT_BEGAN, sh->service, NULL);
     g_autofree char *text = platform->outcome_text(sh, state);
     g_autofree char *started =
         g_strdup_printf("%lu", (unsigned long)sh->revision);
@@ -85,21 +86,21 @@
 {
     g_autofree char *step = g_strdup_printf(
         "%s %lu %d", sh->service, (unsigned long)sh->revision, (int)state);
-    int64_t *due = g_hash_table_lookup(s->turns, step);
+    int64_t *due = g_hash_table_lookup(s->write_due, step);
     if (!due) {
-        double spread =
-            MIN(SPREAD_PER_BOX_MS * wp_peers_known(s->peers), SPREAD_MAX_MS);
+        double spread = MIN(SPREAD_PER_BOX_MS * wp_peers_known_count(s->peers),
+                            SPREAD_MAX_MS);
         double wait_ms = spread * g_rand_double(s->host->direct.rand);
         due = g_new(int64_t, 1);
         *due = now.mono_us + (int64_t)(wait_ms * WP_US_PER_MS);
-        g_hash_table_insert(s->turns, g_steal_pointer(&step), due);
+        g_hash_table_insert(s->write_due, g_steal_pointer(&step), due);
     }
     return now.mono_us >= *due;
 }
 
 static bool may_write(const WPSync *s, WPTime now)
 {
-    return (s->up || !s->tried) && !s->writing &&
+    return (s->store_up || !s->store_tried) && !s->writing &&
            now.mono_us >= s->write_after_us;
 }
 
@@ -128,7 +129,7 @@
     if (wp_shift_advance(s->host->direct.shifts, sh, now, &why)) {
         wp_log(&s->host->log, WP_INFO, "move_stage", "service", sh->service,
                "version", sh->version, "stage", sh->stage, "why", why, NULL);
-        wp_peers_announce(s->peers);
+        wp_peers_schedule_digest(s->peers);
         g_clear_pointer(&why, g_free);
     }
     WPShiftState due =
@@ -140,7 +141,7 @@
         sh->found_bad = true;
         wp_log(&s->host->log, WP_WARN, "version_bad", "service", sh->service,
                "version", sh->version, "why", why, NULL);
-        wp_peers_announce(s->peers);
+        wp_peers_schedule_digest(s->peers);
     }
     if (!may_write(s, now))
         return;
@@ -192,16 +193,16 @@
 {
     const Wp__DirectSettings *set = s->host->settings;
     BoxRecords b = { .sync = s };
-    if (now.mono_us < s->boxes_us || !may_write(s, now) || !s->complete ||
+    if (now.mono_us < s->box_check_us || !may_write(s, now) || !s->complete ||
         s->host->leaving)
         return;
-    s->boxes_us =
+    s->box_check_us =
         now.mono_us +
-        (int64_t)(BOXES_INTERVAL_MS * (1 + s->fresh.jitter)) * WP_US_PER_MS;
-    if (s->up || now.mono_us >= s->self_us)
+        (int64_t)(BOXES_INTERVAL_MS * (1 + s->staleness.jitter)) * WP_US_PER_MS;
+    if (s->store_up || now.mono_us >= s->self_write_us)
         add_box_record(&b, set->id, set->peers, set->zone, false);
-    if (s->up && wp_peers_on_duty(s->peers, false))
-        wp_peers_each(s->peers, add_peer_record, &b);
+    if (s->store_up && wp_peers_is_designated_watcher(s->peers, false))
+        wp_peers_each_linked(s->peers, add_peer_record, &b);
     if (b.n)
         write_txn(s, b.compares, b.n, b.ops, b.n);
     for (size_t i = 0; i < 2 * b.n; i++)
--- a/io/wp_sync.c
+++ b/io/wp_sync.c
@@ -1,39 +1,45 @@
-/* Keeps in step with the store: one range reads everything, then one watch
- * follows; after a break all is read again and compared. What the store does
- * not tell this box, other boxes do. */
+/* Keeps the local copy in sync with the store: one range call reads all
+ * entries, then a watch follows the changes; after an interruption
+ * everything is read again and compared. Changes that the store does not
+ * deliver to this box come from other boxes. */
 #include "wp_sync_int.h"
 #include "wp_lag.h"
-#include "wp_notice_news.h"
+#include "wp_notice_updates.h"
 #include "wp_reports.h"
-#include "wp_zone.h"
+#include "wp_zone_updates.h"
 
 enum {
-    WATCH_PULL_MS = 120,   /* a box that watches the store mostly hears of a
-                              change before it could be told */
-    DOUBT_MS = 3000,       /* after the store was away, entries that lapsed
-                              meanwhile may still come back: the platform says
-                              two seconds */
-    FIRST_ANSWER_MS = 300, /* from a lost store's first word until all pages of
-                              it are read */
-    START_RETRY_MS = 300,  /* between calls of a box that knows nothing yet and
-                              whose callers wait: they are served sooner than
-                              with pauses that grow */
-    TOLD_ENTRIES_MOST = 4000, /* of more, each box reads the store for itself:
-                                 to tell sixty boxes 0.1 MB each takes a link of
-                                 20 Mbit/s 2.4 s */
-    SLOW_READ_MS = 2500,      /* a reading of 3,000 entries takes 1 s */
-    SELF_MS = 1000,  /* after the start, until the own record is written */
-    ALONE_MS = 1000, /* between words of the store by way of other boxes:
-                        digests come once a second */
-    AGAIN_MS = 1300  /* after a watch broke: the store's watches may stay deaf
-                        for a second around a break */
+    /* a box that watches the store usually gets a change before another box
+       could send it */
+    WATCH_PULL_MS = 120,
+    /* after the store was unavailable, entries whose lease expired meanwhile
+       may still come back: the platform says two seconds */
+    LAPSED_GRACE_MS = 3000,
+    /* from the first answer of a store that was unavailable until all pages
+       of it are read */
+    FIRST_ANSWER_MS = 300,
+    /* between calls of a box that has no entries yet and whose callers wait:
+       they are served sooner than with exponential back-off */
+    START_RETRY_MS = 300,
+    /* with more, each box reads the store for itself: to send sixty boxes
+       0.1 MB each takes 2.4 s on a link of 20 Mbit/s */
+    FULL_COPY_ENTRIES_MAX = 4000,
+    SLOW_READ_MS = 2500, /* reading 3,000 entries takes 1 s */
+    /* after the start, until the own record is written */
+    OWN_RECORD_DELAY_MS = 1000,
+    /* between confirmations of the store that arrive by way of other boxes:
+       digests come once a second */
+    ISOLATED_AFTER_MS = 1000,
+    /* after a watch broke: the store's watches may deliver nothing for a
+       second around an interruption */
+    REWATCH_DELAY_MS = 1300
 };
 
 static void read_all(WPSync *s);
 static void on_event(void *arg, WPKvWatched what, const WPKvItem *item);
 
-/* The time for the store's answers, which do not bring it along: never before
-   the last tick's. */
+/* The time for answers of the store, whose callbacks get none: never before
+   that of the last tick. */
 static WPTime time_of(const WPSync *s)
 {
     WPTime now = wp_clock_now(0);
@@ -41,85 +47,90 @@
     return now;
 }
 
-static void set_up(WPSync *s, bool up)
+static void set_store_up(WPSync *s, bool up)
 {
     int64_t now_us = time_of(s).mono_us;
     if (up)
-        wp_staleness_confirm(&s->fresh, now_us);
-    else if (!wp_peers_any_sighted(s->peers))
-        s->away_us = now_us;
-    if (s->up == up && s->tried)
+        wp_staleness_confirm(&s->staleness, now_us);
+    else if (!wp_peers_any_with_store(s->peers))
+        s->store_unavailable_us = now_us;
+    if (s->store_up == up && s->store_tried)
         return;
-    s->turned_us = now_us;
-    s->up = up;
-    s->tried = true;
+    s->store_changed_us = now_us;
+    s->store_up = up;
+    s->store_tried = true;
     s->host->direct.start.store_unavailable = !up;
-    wp_peers_announce(s->peers);
+    wp_peers_schedule_digest(s->peers);
     wp_log(&s->host->log, up ? WP_INFO : WP_WARN,
            up ? "store_regained" : "store_lost", NULL);
 }
 
-/* Whether what the store now lacks may only have lapsed while it was away: by
-   its first answer after it answered none of the boxes. What is removed later,
-   or was while it only turned this box away, is gone. */
+/* Returns whether an entry that the store now lacks may have been removed
+   only because its lease expired while the store was unavailable: it is
+   missing in the store's first answer after a time in which it answered none
+   of the boxes. An entry that is removed later, or while the store answered
+   other boxes but not this one, is really gone. */
 static bool may_have_lapsed(const WPSync *s)
 {
     int64_t now_us = time_of(s).mono_us;
-    bool lately = now_us - s->away_us < (int64_t)DOUBT_MS * WP_US_PER_MS;
+    bool lately = now_us - s->store_unavailable_us <
+                  (int64_t)LAPSED_GRACE_MS * WP_US_PER_MS;
     bool first =
-        now_us - s->turned_us < (int64_t)FIRST_ANSWER_MS * WP_US_PER_MS;
-    return s->away_us && lately && first;
+        now_us - s->store_changed_us < (int64_t)FIRST_ANSWER_MS * WP_US_PER_MS;
+    return s->store_unavailable_us && lately && first;
 }
 
-/* Whether this box asks the store for the others, or for itself as nobody has
-   told it anything. */
-static bool must_ask(const WPSync *s)
+/* Returns whether this box contacts the store on behalf of its zone, or for
+   itself as it has no complete copy. */
+static bool must_poll(const WPSync *s)
 {
-    return !s->complete || wp_peers_on_duty(s->peers, s->tried && !s->up);
+    return !s->complete || wp_peers_is_designated_watcher(
+                               s->peers, s->store_tried && !s->store_up);
 }
 
-/* The store did not answer: asks again after a pause that grows. */
+/* The store did not answer: retries after a back-off that grows. */
 static void note_failure(WPSync *s)
 {
     WPTime now = time_of(s);
     wp_count(&s->host->direct.counters, WP_C_STORE_ERRORS);
-    set_up(s, false);
-    uint32_t pause_ms = s->complete
-                            ? wp_staleness_backoff_ms(&s->fresh, s->failures++)
-                            : START_RETRY_MS;
-    if (must_ask(s))
+    set_store_up(s, false);
+    uint32_t pause_ms =
+        s->complete ? wp_staleness_backoff_ms(&s->staleness, s->failures++)
+                    : START_RETRY_MS;
+    if (must_poll(s))
         s->retry_us = now.mono_us + (int64_t)pause_ms * WP_US_PER_MS;
 }
 
-static void watch_from(WPSync *s, uint64_t revision, bool look)
+static void watch_from(WPSync *s, uint64_t revision, bool confirm)
 {
     s->watching = true;
-    s->looking = look;
-    s->kv->ops->watch(s->kv, "", revision, look, on_event, s);
+    s->confirming = confirm;
+    s->kv->ops->watch(s->kv, "", revision, confirm, on_event, s);
 }
 
-/* Changes after this revision are asked for once more when the store is sure to
-   tell all. */
-static void ask_again_from(WPSync *s, uint64_t revision)
+/* After REWATCH_DELAY_MS, when the store's watches are reliable again, asks
+   once more for the changes from this revision on. */
+static void schedule_rewatch(WPSync *s, uint64_t revision)
 {
-    s->again_from = revision;
-    s->again_us = time_of(s).mono_us + (int64_t)AGAIN_MS * WP_US_PER_MS;
+    s->rewatch_revision = revision;
+    s->rewatch_us =
+        time_of(s).mono_us + (int64_t)REWATCH_DELAY_MS * WP_US_PER_MS;
 }
 
-/* All is read again, and what has changed since is asked for once more when the
-   store's watches are sure to tell all. A watch that is opened around a break
-   may stay without an answer for a second, a reading does not: an order would
-   be begun that much later. */
+/* Reads everything again, and later asks once more for what has changed
+   since (see schedule_rewatch()). A watch that is opened around an
+   interruption may stay without an answer for a second, a range call does
+   not: waiting for the watch would start an ordered shift that much later. */
 static void read_after_break(WPSync *s)
 {
     s->watching = s->catching_up = false;
-    s->broken = true;
+    s->watch_broken = true;
     read_all(s);
 }
 
 static void on_broken(WPSync *s)
 {
-    if (!s->looking) {
+    if (!s->confirming) {
         read_after_break(s);
         return;
     }
@@ -127,19 +138,19 @@
     note_failure(s);
 }
 
-/* All that the store holds at present has been taken in. */
-static void note_known(WPSync *s)
+/* Records that the local copy now has all changes of the store. */
+static void note_synced(WPSync *s)
 {
     uint64_t has = wp_mirror_complete_revision(s->mirror);
-    wp_staleness_note_synced(&s->fresh, has, has, time_of(s).mono_us);
+    wp_staleness_note_synced(&s->staleness, has, has, time_of(s).mono_us);
 }
 
 static void on_answer(WPSync *s)
 {
-    s->looking = s->catching_up = false;
+    s->confirming = s->catching_up = false;
     s->failures = 0;
-    set_up(s, true);
-    wp_peers_announce(s->peers);
+    set_store_up(s, true);
+    wp_peers_schedule_digest(s->peers);
 }
 
 static void on_event(void *arg, WPKvWatched what, const WPKvItem *item)
@@ -148,14 +159,14 @@
     switch (what) {
     case WP_KV_CHANGED:
         on_answer(s);
-        wp_news_take(s, item->key.p, item->removed ? NULL : &item->value,
-                     item->mod_revision, item->removed && may_have_lapsed(s));
+        wp_store_apply(s, item->key.p, item->removed ? NULL : &item->value,
+                       item->mod_revision, item->removed && may_have_lapsed(s));
         wp_mirror_advance(s->mirror, item->mod_revision);
-        note_known(s);
+        note_synced(s);
         break;
     case WP_KV_QUIET:
         on_answer(s);
-        note_known(s);
+        note_synced(s);
         break;
     case WP_KV_BROKEN:
         on_broken(s);
@@ -166,9 +177,9 @@
     }
 }
 
-/* What the reading lacks is gone; right after the store was away it may only
-   have lapsed. */
-static void lose_missing(WPSync *s, const WPKvResult *r)
+/* Removes entries that the range call did not return. Right after the store
+   was unavailable, their leases may only have expired meanwhile. */
+static void remove_missing(WPSync *s, const WPKvResult *r)
 {
     bool lapsed = may_have_lapsed(s);
     g_autoptr(GHashTable) keys = g_hash_table_new(g_str_hash, g_str_equal);
@@ -179,13 +190,13 @@
     for (guint i = 0; i < lacking->len; i++) {
         const WPMirrorItem *item = g_ptr_array_index(lacking, i);
         g_autofree char *key = g_strdup(item->key);
-        wp_news_take(s, key, NULL, MAX(r->revision, item->revision + 1),
-                     lapsed);
+        wp_store_apply(s, key, NULL, MAX(r->revision, item->revision + 1),
+                       lapsed);
     }
 }
 
-/* Asks the store for what has changed since this box's copy; all is read again
-   only if the store cannot tell. */
+/* Asks the store for the changes since the revision of the local copy.
+   Everything is read again only if the store no longer has them. */
 static void catch_up(WPSync *s, WPTime now)
 {
     if (!s->complete) {
@@ -193,7 +204,7 @@
         return;
     }
     s->catching_up = true;
-    wp_staleness_note_poll(&s->fresh, now);
+    wp_staleness_note_poll(&s->staleness, now);
     watch_from(s, wp_mirror_complete_revision(s->mirror) + 1, true);
 }
 
@@ -207,20 +218,20 @@
         note_failure(s);
         return;
     }
-    set_up(s, true);
+    set_store_up(s, true);
     for (size_t i = 0; i < r->n_items; i++)
-        wp_news_take(s, r->items[i].key.p, &r->items[i].value,
-                     r->items[i].mod_revision, false);
-    lose_missing(s, r);
+        wp_store_apply(s, r->items[i].key.p, &r->items[i].value,
+                       r->items[i].mod_revision, false);
+    remove_missing(s, r);
     wp_mirror_advance(s->mirror, r->revision);
-    note_known(s);
+    note_synced(s);
     s->complete = true;
     wp_relay_enter_held(s->host);
-    wp_peers_announce(s->peers);
-    if (s->broken)
-        ask_again_from(s, r->revision + 1);
-    s->broken = false;
-    if (must_ask(s))
+    wp_peers_schedule_digest(s->peers);
+    if (s->watch_broken)
+        schedule_rewatch(s, r->revision + 1);
+    s->watch_broken = false;
+    if (must_poll(s))
         watch_from(s, r->revision + 1, false);
 }
 
@@ -229,54 +240,57 @@
     if (s->reading)
         return;
     s->reading = true;
-    s->read_us = time_of(s).mono_us;
+    s->read_started_us = time_of(s).mono_us;
     s->retry_us = 0;
-    wp_staleness_note_poll(&s->fresh, time_of(s));
+    wp_staleness_note_poll(&s->staleness, time_of(s));
     s->kv->ops->range(s->kv, "", NULL, on_range, s);
 }
 
-static int64_t start_ms(const WPSync *s)
+static int64_t start_wait_ms(const WPSync *s)
 {
-    return wp_staleness_start_wait_ms(&s->fresh, s->host->settings->first_start,
-                                      wp_peers_may_tell(s->peers));
+    return wp_staleness_start_wait_ms(&s->staleness,
+                                      s->host->settings->first_start,
+                                      wp_peers_may_send_full_copy(s->peers));
 }
 
-/* Whether this box has just started and others are given time to tell it. At
-   the first start nobody asks the store meanwhile but for those that all are
-   told to reach. */
-static bool waits_to_be_told(const WPSync *s, WPTime now)
+/* Returns whether this box has just started and gives others time to send it
+   a full copy. At the first start of the system only the seeds, which all
+   boxes dial first, read the store during that time. */
+static bool waits_for_full_copy(const WPSync *s, WPTime now)
 {
-    bool told = s->complete && !s->host->settings->first_start;
-    return !s->reads_first && !told &&
-           now.mono_us < s->start_us + start_ms(s) * WP_US_PER_MS;
+    bool has_copy = s->complete && !s->host->settings->first_start;
+    return !s->reads_first && !has_copy &&
+           now.mono_us < s->start_us + start_wait_ms(s) * WP_US_PER_MS;
 }
 
-/* A box on duty watches: the client of the store ends a watch that has fallen
-   silent. One that is not asks the store when nobody has had its word for
-   long. */
+/* A designated box watches the store; the store's client ends a watch that
+   has fallen silent. Other boxes poll the store when no box has had an
+   answer from it for too long. */
 static void keep_fresh(WPSync *s, WPTime now)
 {
-    bool must = must_ask(s);
-    bool stale = wp_staleness_poll_due(&s->fresh, now, wp_peers_rank(s->peers));
+    bool must = must_poll(s);
+    bool stale =
+        wp_staleness_poll_due(&s->staleness, now, wp_peers_rank(s->peers));
     if (s->watching && !must && !s->catching_up) {
         s->kv->ops->unwatch(s->kv);
         s->watching = false;
     }
-    if (s->reading || s->retry_us || s->watching || waits_to_be_told(s, now))
+    if (s->reading || s->retry_us || s->watching || waits_for_full_copy(s, now))
         return;
-    bool behind = wp_staleness_catch_up_due(&s->fresh, now,
-                                            wp_peers_behind_ms(s->peers, now));
+    bool behind = wp_staleness_catch_up_due(&s->staleness, now,
+                                            wp_peers_lag_ms(s->peers, now));
     if (must && s->complete)
         watch_from(s, wp_mirror_complete_revision(s->mirror) + 1, true);
     else if (must || behind || stale)
         catch_up(s, now);
 }
 
-/* How long the others are given before this box asks them. */
+/* Returns how long a revision may be missing before it is pulled from
+   another box. */
 static uint32_t pull_wait_ms(const WPSync *s)
 {
     if (!s->complete && s->reading)
-        return wp_lag_initial_pull_wait_ms(wp_peers_entries(s->peers));
+        return wp_lag_initial_pull_wait_ms(wp_peers_max_entries(s->peers));
     return s->watching ? WATCH_PULL_MS : 0;
 }
 
@@ -288,23 +302,24 @@
 
 int64_t wp_sync_list_age_ms(const WPSync *s, WPTime now)
 {
-    return wp_staleness_ms(&s->fresh, now);
+    return wp_staleness_ms(&s->staleness, now);
 }
 
-/* Whether this box may be the last to hear of a change: the store does not
-   answer it, and what it knows grows old, as where the others of its zone are
-   cut off as well or have fallen silent without a sign. */
+/* Returns whether this box may be the last to learn of a change: the store
+   does not answer it and its copy is getting stale, as when the other boxes
+   of its zone are cut off too or have fallen silent unnoticed. */
 static bool is_cut_off(const WPSync *s, WPTime now)
 {
-    return s->tried && !s->up && wp_sync_list_age_ms(s, now) > ALONE_MS;
+    return s->store_tried && !s->store_up &&
+           wp_sync_list_age_ms(s, now) > ISOLATED_AFTER_MS;
 }
 
-/* Whether the store gives this box nothing, or only slowly. */
-static bool gets_little(const WPSync *s, WPTime now)
+/* Returns whether the store does not answer this box, or only slowly. */
+static bool store_is_slow_or_down(const WPSync *s, WPTime now)
 {
     int64_t slow_us = (int64_t)SLOW_READ_MS * WP_US_PER_MS;
-    bool slow = s->reading && now.mono_us - s->read_us > slow_us;
-    return slow || (s->tried && !s->up);
+    bool slow = s->reading && now.mono_us - s->read_started_us > slow_us;
+    return slow || (s->store_tried && !s->store_up);
 }
 
 static void add_box(void *arg, const char *id, const char *addr,
@@ -315,19 +330,19 @@
     g_array_append_val((GArray *)arg, b);
 }
 
-/* Which boxes send to the same endpoints. */
-static void share_endpoints(WPSync *s)
+/* Informs the fleet which boxes send requests to the same endpoints. */
+static void update_fleet_boxes(WPSync *s)
 {
     const Wp__DirectSettings *set = s->host->settings;
     const WPPaceBox self = { wp_hash(wp_str(set->id), 0), set->zone };
-    if (s->boxes_known == wp_peers_changes(s->peers) + 1)
+    if (s->boxes_generation == wp_peers_generation(s->peers) + 1)
         return;
-    s->boxes_known = wp_peers_changes(s->peers) + 1;
+    s->boxes_generation = wp_peers_generation(s->peers) + 1;
     g_autoptr(GArray) others = g_array_new(FALSE, FALSE, sizeof(WPPaceBox));
     wp_peers_each_member(s->peers, add_box, others);
     wp_fleet_set_boxes(s->host->direct.fleet, &self,
                        (const WPPaceBox *)(void *)others->data, others->len,
-                       wp_peers_known(s->peers));
+                       wp_peers_known_count(s->peers));
 }
 
 void wp_sync_tick(WPSync *s, WPTime now)
@@ -338,52 +353,52 @@
         s->retry_us = 0;
         catch_up(s, now);
     }
-    if (s->again_us && now.mono_us >= s->again_us) {
-        s->again_us = 0;
+    if (s->rewatch_us && now.mono_us >= s->rewatch_us) {
+        s->rewatch_us = 0;
         if (s->watching)
-            watch_from(s, s->again_from, true);
+            watch_from(s, s->rewatch_revision, true);
     }
     wp_record_tick(s, now);
-    wp_seen_tick(s, now);
-    wp_suspect_news_tick(s, now);
-    wp_zone_tick(s->zone, now);
-    wp_notice_news_tick(s->notice_news, now);
+    wp_shift_records_tick(s, now);
+    wp_suspect_updates_tick(s, now);
+    wp_zone_updates_tick(s->zone_updates, now);
+    wp_notice_updates_tick(s->notice_updates, now);
     if (s->reports)
         wp_reports_tick(s->reports, now);
     bool moving = false;
     wp_shifts_each(s->host->direct.shifts, note_running, &moving);
-    wp_peers_hurry(s->peers, moving);
-    wp_peers_patience(s->peers, pull_wait_ms(s));
-    wp_peers_pull_far(s->peers,
-                      gets_little(s, now) || (!s->complete && !s->reading));
-    wp_peers_reach_far(s->peers, is_cut_off(s, now));
-    if (!s->complete && wp_peers_entries(s->peers) > TOLD_ENTRIES_MOST)
+    wp_peers_set_fast_digests(s->peers, moving);
+    wp_peers_set_pull_delay(s->peers, pull_wait_ms(s));
+    wp_peers_set_remote_full_pull(s->peers, store_is_slow_or_down(s, now) ||
+                                                (!s->complete && !s->reading));
+    wp_peers_set_remote_links(s->peers, is_cut_off(s, now));
+    if (!s->complete && wp_peers_max_entries(s->peers) > FULL_COPY_ENTRIES_MAX)
         s->reads_first = true;
     wp_peers_tick(s->peers, now);
-    s->host->direct.boxes = wp_peers_known(s->peers);
-    share_endpoints(s);
+    s->host->direct.boxes = wp_peers_known_count(s->peers);
+    update_fleet_boxes(s);
 }
 
 void wp_sync_share(WPSync *s)
 {
-    wp_zone_wake(s->zone);
+    wp_zone_updates_schedule(s->zone_updates);
 }
 
 void wp_sync_suspects(WPSync *s)
 {
-    if (s->suspect_news)
-        wp_suspect_news_wake(s->suspect_news);
+    if (s->suspect_updates)
+        wp_suspect_updates_schedule(s->suspect_updates);
 }
 
 void wp_sync_notices(WPSync *s)
 {
-    if (s->notice_news)
-        wp_notice_news_wake(s->notice_news);
+    if (s->notice_updates)
+        wp_notice_updates_schedule(s->notice_updates);
 }
 
 void wp_sync_tell(WPSync *s)
 {
-    wp_peers_announce(s->peers);
+    wp_peers_schedule_digest(s->peers);
 }
 
 const WPTraffic *wp_sync_traffic(const WPSync *s)
@@ -403,10 +418,11 @@
 
 bool wp_sync_store_up(const WPSync *s)
 {
-    return s->up;
+    return s->store_up;
 }
 
-/* Those that all others are told to reach first read the store at once. */
+/* Seeds, which all other boxes dial first, read the store at once when they
+   start. */
 static bool reads_first(const Wp__DirectSettings *set)
 {
     for (size_t i = 0; i < set->n_seeds; i++)
@@ -419,24 +435,28 @@
 {
     WPSync *s = g_new0(WPSync, 1);
     s->host = h;
-    s->fresh.apply_ms = (uint32_t)h->settings->apply_ms;
-    s->seen = wp_seen_new();
-    s->life = (uint64_t)wp_clock_seed() << 32 | wp_clock_seed();
-    s->fresh.jitter = g_rand_double(h->direct.rand);
+    s->staleness.apply_ms = (uint32_t)h->settings->apply_ms;
+    s->shift_records = wp_shift_records_new();
+    s->incarnation = (uint64_t)wp_clock_seed() << 32 | wp_clock_seed();
+    s->staleness.jitter = g_rand_double(h->direct.rand);
     s->mirror = wp_mirror_new();
-    s->turns = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    s->write_due =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     s->peers = wp_peers_new(h->base, h->settings, s->mirror, &wp_sync_peers_ops,
                             s, error);
     s->kv = s->peers ? h->platform->store(h->base, h->settings->store) : NULL;
     if (s->kv) {
-        s->zone = wp_zone_new(h, s->peers);
-        s->suspect_news = wp_suspect_news_new(s);
-        s->notice_news = wp_notice_news_new(h, s->peers);
+        s->zone_updates = wp_zone_updates_new(h, s->peers);
+        s->suspect_updates = wp_suspect_updates_new(s);
+        s->notice_updates = wp_notice_updates_new(h, s->peers);
         s->reports = wp_reports_new(s);
         s->start_us = time_of(s).mono_us;
         s->reads_first = reads_first(h->settings);
-        s->self_us = s->start_us + (start_ms(s) + SELF_MS) * WP_US_PER_MS;
-        s->boxes_us = time_of(s).mono_us + SELF_MS * WP_US_PER_MS / 2;
+        s->self_write_us =
+            s->start_us +
+            (start_wait_ms(s) + OWN_RECORD_DELAY_MS) * WP_US_PER_MS;
+        s->box_check_us =
+            time_of(s).mono_us + OWN_RECORD_DELAY_MS * WP_US_PER_MS / 2;
         if (s->reads_first)
             read_all(s);
         return s;
@@ -454,13 +474,13 @@
         return;
     if (s->kv)
         s->kv->ops->free(s->kv);
-    wp_zone_free(s->zone);
+    wp_zone_updates_free(s->zone_updates);
     g_clear_pointer(&s->reports, wp_reports_free);
-    g_clear_pointer(&s->suspect_news, wp_suspect_news_free);
-    g_clear_pointer(&s->notice_news, wp_notice_news_free);
+    g_clear_pointer(&s->suspect_updates, wp_suspect_updates_free);
+    g_clear_pointer(&s->notice_updates, wp_notice_updates_free);
     wp_peers_free(s->peers);
     wp_mirror_free(s->mirror);
-    g_hash_table_unref(s->turns);
-    wp_seen_free(s->seen);
+    g_hash_table_unref(s->write_due);
+    wp_shift_records_free(s->shift_records);
     g_free(s);
 }
--- a/io/wp_sync_int.h
+++ b/io/wp_sync_int.h
@@ -1,4 +1,5 @@
-/* What the parts that keep in step with the store share. */
+/* Shared by the files that keep a box in sync with the store and other
+ * boxes. */
 #ifndef WP_SYNC_INT_H
 #define WP_SYNC_INT_H
 
@@ -7,114 +8,146 @@
 #include "wp_mirror.h"
 #include "wp_peers.h"
 
-/* Entries of the system itself. */
-#define WP_KEY_BEGAN                                                           \
-    "wp/began/"                /* of a service: its move has begun; "ORDER"    \
-                                */
-#define WP_KEY_SEEN "wp/seen/" /* SERVICE/BOX: a MoveRecord */
-#define WP_KEY_SUSPECT                                                         \
-    "wp/suspect/" /* hash of a request, in hex: a Suspect; an operator who     \
-                     removes it lets the request in again */
+/* Keys of the router's own store entries. */
 
-#define WP_KEY_DUTY "wp/duty/usage" /* a DutyRecord */
+/* SERVICE: its shift has begun; value "ORDER", the revision of the order. */
+#define WP_KEY_SHIFT_BEGAN "wp/began/"
+/* SERVICE/BOX: a MoveRecord. */
+#define WP_KEY_SHIFT_RECORD "wp/seen/"
+/* Hash of a request, in hex: a Suspect; an operator who removes it releases the
+   request from quarantine. */
+#define WP_KEY_SUSPECT "wp/suspect/"
+/* A DutyRecord: the lease of usage reporting. */
+#define WP_KEY_REPORT_LEASE "wp/duty/usage"
 
 enum {
-    WP_MOVES_TOLD = 8,
-    WP_LOADED_TOLD = 8,
-    WP_SESSIONS_TOLD = 512, /* of each kind in one digest */
-    WP_KEPT_TOLD = 128
+    WP_DIGEST_SHIFTS_MAX = 8,
+    WP_DIGEST_FAILING_MAX = 8,
+    WP_DIGEST_SESSIONS_MAX = 512, /* of each kind in one digest */
+    WP_DIGEST_PREFIXES_MAX = 128
 };
 
 struct WPSync {
-    /* What the next digest points to. */
-    Wp__MoveSums sums[WP_MOVES_TOLD], *sums_list[WP_MOVES_TOLD];
-    uint64_t bound[WP_SESSIONS_TOLD], moved[WP_SESSIONS_TOLD];
-    uint64_t left[WP_SESSIONS_TOLD];
-    uint64_t kept_at[WP_KEPT_TOLD], kept_prefix[WP_KEPT_TOLD];
-    uint32_t kept_tokens[WP_KEPT_TOLD];
+    /* Memory that the next digest points to. */
+    Wp__MoveSums sums[WP_DIGEST_SHIFTS_MAX], *sums_list[WP_DIGEST_SHIFTS_MAX];
+    uint64_t bound[WP_DIGEST_SESSIONS_MAX], moved[WP_DIGEST_SESSIONS_MAX];
+    uint64_t retired[WP_DIGEST_SESSIONS_MAX];
+    uint64_t kept_at[WP_DIGEST_PREFIXES_MAX],
+        kept_prefix[WP_DIGEST_PREFIXES_MAX];
+    uint32_t kept_tokens[WP_DIGEST_PREFIXES_MAX];
 
     WPDirectHost *host;
-    uint64_t life; /* of this process, as boxes tell of it */
+    uint64_t incarnation; /* of this process, as other boxes know it */
     WPKv *kv;
     WPMirror *mirror;
     WPPeers *peers;
-    uint32_t boxes_known; /* one more than wp_peers_changes() when the
-                             fleet was told; 0: it was not */
-    struct WPZone *zone;
-    bool reading;                 /* a range is under way */
-    int64_t read_us;              /* since when */
-    bool watching;                /* a watch is under way */
-    char *loaded[WP_LOADED_TOLD]; /* told with the digest; the fleet's */
-    bool catching_up;             /* it is to end with its first answer */
-    WPStaleness fresh;
-    bool up, tried;    /* the store's last answer; whether it was ever asked */
-    bool complete;     /* the store or a peer has told everything once */
-    int64_t retry_us;  /* when to read again; 0: not waiting */
-    int64_t away_us;   /* when the store last answered no box, as far as is
-                          known */
-    int64_t turned_us; /* when it last began or ceased to answer this one */
-    bool looking;      /* the watch is to be answered at once */
-    unsigned failures; /* of calls, in a row */
-    int64_t again_us;  /* when to ask once more after a break; 0: not */
-    bool broken;       /* all is read as a watch broke, or as the store has
-                          forgotten what this box lacks */
-    uint64_t again_from; /* for all since this revision */
-    int64_t tick_us;     /* the last tick's time */
-    int64_t start_us;    /* when this box started */
-    bool reads_first;    /* the store, at its start: it waits for nobody */
-    struct WPSeen *seen; /* what is kept of moves that run */
-    struct WPSuspectNews
-        *suspect_news;                 /* news of requests that end endpoints */
-    struct WPNoticeFlood *notice_news; /* of what endpoints say of themselves */
-    struct WPReports *reports;         /* of usage; NULL: none are due */
-    bool writing;                      /* a transaction is under way */
-    int64_t write_after_us;
-    int64_t boxes_us;  /* when to look for boxes without a record */
-    int64_t self_us;   /* from when on to write the own record, if no other box
-                          has */
-    GHashTable *turns; /* what to write -> int64_t, when this box does */
+    /* wp_peers_generation() + 1 when the fleet was last given the boxes; 0:
+       never */
+    uint32_t boxes_generation;
+    struct WPZoneUpdates *zone_updates;
+    /* a range call is in progress */
+    bool reading;
+    int64_t read_started_us; /* when it began */
+    bool watching;           /* a watch is open */
+    /* strings owned by the fleet */
+    char *fails_under_load[WP_DIGEST_FAILING_MAX];
+    /* the watch was opened to catch up and ends with its first answer */
+    bool catching_up;
+    WPStaleness staleness;
+    /* whether the last call of the store was answered; whether it was ever
+       called */
+    bool store_up, store_tried;
+    /* all entries were received once, from the store or a peer */
+    bool complete;
+    int64_t retry_us; /* when to call the store again; 0: no retry is due */
+    /* when the store was last found to answer none of the boxes, as far as
+       this box knows; 0: never */
+    int64_t store_unavailable_us;
+    int64_t store_changed_us; /* when `store_up` last changed */
+    bool confirming;          /* the watch asks the store to answer at once */
+    unsigned failures;        /* consecutive failed calls */
+    /* when to open the watch once more after an interruption; 0: not due */
+    int64_t rewatch_us;
+    /* everything is read again as a watch broke, or as the store has
+       compacted revisions that this box lacks */
+    bool watch_broken;
+    /* first revision that the watch opened then asks for */
+    uint64_t rewatch_revision;
+    int64_t tick_us;  /* time of the last tick */
+    int64_t start_us; /* when this box started */
+    /* reads the store at its start instead of waiting for a full copy from
+       others */
+    bool reads_first;
+    struct WPShiftRecords *shift_records; /* records of running shifts */
+    /* updates on requests that crash endpoints */
+    struct WPSuspectUpdates *suspect_updates;
+    /* updates on what endpoints report of themselves */
+    struct WPNoticeUpdates *notice_updates;
+    struct WPReports *reports; /* usage reports; NULL: not enabled */
+    bool writing;              /* a transaction is in progress */
+    int64_t write_after_us;    /* no transaction before this time */
+    int64_t box_check_us; /* when to look for boxes without a store entry */
+    /* when to write the own store entry if no other box has done so */
+    int64_t self_write_us;
+    /* what to write -> int64_t, when this box writes it */
+    GHashTable *write_due;
 };
 
-/* wp_news.c: takes one entry of the store (value NULL: removed); older ones
-   than known change nothing. `lapsed`: it may have been removed only because
-   the store was away. */
-void wp_news_take(WPSync *s, const char *key, const WPStr *value,
-                  uint64_t revision, bool lapsed);
+/* wp_store_apply.c: applies a store entry (value NULL: removed). Does
+   nothing if the local copy has that revision or a newer one. `lapsed`: the
+   entry may have been removed only because its lease expired while the store
+   was unavailable. */
+void wp_store_apply(WPSync *s, const char *key, const WPStr *value,
+                    uint64_t revision, bool lapsed);
 
-/* wp_sync_peers.c: what comes from other boxes. */
+/* wp_sync_peers.c: handles what other boxes send. */
 extern const WPPeersOps wp_sync_peers_ops;
 
-/* wp_digest.c: what another box tells with its digest, and what this one does;
-   see WPPeersOps. */
-void wp_sync_hear(void *arg, const char *from, const Wp__MirrorDigest *d);
-void wp_sync_fill(void *arg, Wp__MirrorDigest *d);
-
-/* wp_seen.c: what outlasts a loss of all boxes of a move that runs. */
-struct WPSeen *wp_seen_new(void);
-void wp_seen_free(struct WPSeen *v);
-void wp_seen_tick(WPSync *s, WPTime now);
-
-/* Takes the record of a box; `what` is SERVICE/BOX. */
-void wp_seen_take(WPSync *s, const char *what, WPStr value);
-
-/* wp_suspect_news.c: news and records of requests under which endpoints have
-   ended (src/wp_suspects.h). */
-struct WPSuspectNews *wp_suspect_news_new(WPSync *s);
-void wp_suspect_news_free(struct WPSuspectNews *d);
-void wp_suspect_news_tick(WPSync *s, WPTime now);
-void wp_suspect_news_wake(struct WPSuspectNews *d);
-void wp_suspect_news_heard(WPSync *s, const char *from,
-                           const Wp__SuspectNews *n);
-
-/* Takes a record of the store; NULL: it has been removed. */
-void wp_suspect_news_take(WPSync *s, const char *hex, const WPStr *value);
-
-/* The sums of one life, on the wire. */
-void wp_move_sums_fill(const WPShift *sh, uint64_t life, const WPCanarySums *v,
-                       Wp__MoveSums *out);
-WPCanarySums wp_move_sums_read(const Wp__MoveSums *m);
-
-/* wp_record.c: writes what this box has to tell. */
+/* wp_digest.c: merges the digest of another box; adds to a digest what this
+   box sends along. See WPPeersOps. */
+void wp_sync_merge_digest(void *arg, const char *from,
+                          const Wp__MirrorDigest *d);
+void wp_sync_fill_digest(void *arg, Wp__MirrorDigest *d);
+
+/* wp_shift_records.c: records of running shifts in the store, which are kept
+   if all boxes are lost. */
+struct WPShiftRecords *wp_shift_records_new(void);
+void wp_shift_records_free(struct WPShiftRecords *v);
+/* Writes the shift record of this box that is oldest, if one is due. */
+void wp_shift_records_tick(WPSync *s, WPTime now);
+
+/* Merges the shift record of a box; `what` is "SERVICE/BOX". */
+void wp_shift_record_apply(WPSync *s, const char *what, WPStr value);
+
+/* wp_suspect_updates.c: updates and store records on requests during which
+   endpoints have crashed (src/wp_suspects.h). */
+struct WPSuspectUpdates *wp_suspect_updates_new(WPSync *s);
+void wp_suspect_updates_free(struct WPSuspectUpdates *d);
+/* Schedules unsent updates, and writes or removes one record in the store if
+   that is due. */
+void wp_suspect_updates_tick(WPSync *s, WPTime now);
+
+/* Schedules a message to all linked boxes if there are unsent updates: at
+   once, or when the interval since the last one has passed. */
+void wp_suspect_updates_schedule(struct WPSuspectUpdates *d);
+
+/* Merges a message of the box `from` and schedules the forwarding of what
+   was new to this box. */
+void wp_suspect_updates_merge(WPSync *s, const char *from,
+                              const Wp__SuspectNews *n);
+
+/* Applies a suspect record of the store, or its removal if `value` is NULL.
+   `hex` is the hash of the request. */
+void wp_suspect_record_apply(WPSync *s, const char *hex, const WPStr *value);
+
+/* Converts the counts that one incarnation has observed of a shift to the
+   wire format and back. */
+void wp_shift_sums_encode(const WPShift *sh, uint64_t incarnation,
+                          const WPCanarySums *v, Wp__MoveSums *out);
+WPCanarySums wp_shift_sums_decode(const Wp__MoveSums *m);
+
+/* wp_record.c: writes to the store what is due: steps of shifts and the
+   entries of boxes. */
 void wp_record_tick(WPSync *s, WPTime now);
 
 #endif
--- a/io/wp_sync_peers.c
+++ b/io/wp_sync_peers.c
@@ -1,40 +1,40 @@
-/* What other boxes bring: entries of the store that this one lacks, and news.
- */
-#include "wp_notice_news.h"
+/* Handles what other boxes send: store entries that this box lacks, and
+ * updates. */
+#include "wp_notice_updates.h"
 #include "wp_reports.h"
 #include "wp_sync_int.h"
-#include "wp_zone.h"
+#include "wp_zone_updates.h"
 
-static void take_delta_item(WPSync *s, const Wp__MirrorItem *item)
+static void apply_delta_item(WPSync *s, const Wp__MirrorItem *item)
 {
     g_autoptr(GBytes) bytes = wp_mirror_item_value(item);
     gsize n = 0;
     if (!bytes && !item->removed) {
         wp_log(&s->host->log, WP_ERROR_LEVEL, "bad_entry", "key", item->key,
-               "why", "a peer's copy cannot be unpacked", NULL);
+               "why", "cannot decompress the value sent by a peer", NULL);
         return;
     }
     const char *data = bytes ? g_bytes_get_data(bytes, &n) : NULL;
     WPStr value = wp_strn(data ? data : "", n);
-    wp_news_take(s, item->key, bytes ? &value : NULL, item->revision,
-                 item->lapsed);
+    wp_store_apply(s, item->key, bytes ? &value : NULL, item->revision,
+                   item->lapsed);
 }
 
 static void on_delta(void *arg, const char *from, const Wp__MirrorDelta *d)
 {
     WPSync *s = arg;
     for (size_t i = 0; i < d->n_items; i++)
-        take_delta_item(s, d->items[i]);
+        apply_delta_item(s, d->items[i]);
     if (d->partial) {
         wp_log(&s->host->log, WP_INFO, "boxes_told", "from", from, NULL);
         return;
     }
     wp_mirror_advance(s->mirror, d->complete);
-    wp_staleness_note_synced(&s->fresh, 0,
+    wp_staleness_note_synced(&s->staleness, 0,
                              wp_mirror_complete_revision(s->mirror), 0);
     s->complete = true;
     wp_relay_enter_held(s->host);
-    wp_peers_announce(s->peers);
+    wp_peers_schedule_digest(s->peers);
     wp_log(&s->host->log, WP_INFO, "caught_up", "from", from, NULL);
 }
 
@@ -43,7 +43,7 @@
     WPSync *s = arg;
     wp_count(&s->host->direct.counters, WP_C_BAD_FRAMES);
     wp_log(&s->host->log, WP_ERROR_LEVEL, "bad_delta", "from", from, "why",
-           "cannot be unpacked", NULL);
+           "cannot decompress the delta", NULL);
 }
 
 static void on_peer(void *arg, const char *peer, bool up)
@@ -54,8 +54,8 @@
     if (up)
         wp_suspects_mark_all_unsent(s->host->direct.suspects);
     wp_sync_suspects(s);
-    if (s->notice_news)
-        wp_notice_news_peer(s->notice_news, peer, up);
+    if (s->notice_updates)
+        wp_notice_updates_peer_changed(s->notice_updates, peer, up);
     if (s->reports)
         wp_reports_peer(s->reports);
 }
@@ -64,37 +64,37 @@
 {
     WPSync *s = arg;
     (void)from;
-    if (s->zone)
-        wp_zone_heard(s->zone, m);
+    if (s->zone_updates)
+        wp_zone_updates_merge(s->zone_updates, m);
 }
 
 static void on_suspects(void *arg, const char *from, const Wp__SuspectNews *n)
 {
     WPSync *s = arg;
-    if (s->suspect_news)
-        wp_suspect_news_heard(s, from, n);
+    if (s->suspect_updates)
+        wp_suspect_updates_merge(s, from, n);
 }
 
 static void on_notices(void *arg, const char *from, const Wp__NoticeNews *n)
 {
     WPSync *s = arg;
-    if (s->notice_news)
-        wp_notice_news_heard(s->notice_news, from, n);
+    if (s->notice_updates)
+        wp_notice_updates_merge(s->notice_updates, from, n);
 }
 
-static void on_usage(void *arg, bool far, const Wp__UsageNews *n)
+static void on_usage(void *arg, bool remote_zone, const Wp__UsageNews *n)
 {
     WPSync *s = arg;
     if (s->reports)
-        wp_reports_heard(s->reports, far, n);
+        wp_reports_heard(s->reports, remote_zone, n);
 }
 
 const WPPeersOps wp_sync_peers_ops = { .delta = on_delta,
                                        .bad_delta = on_bad_delta,
-                                       .heard = wp_sync_hear,
-                                       .fill = wp_sync_fill,
-                                       .changed = on_peer,
-                                       .zone_news = on_zone_news,
-                                       .suspects = on_suspects,
-                                       .notices = on_notices,
-                                       .usage = on_usage };
+                                       .digest_received = wp_sync_merge_digest,
+                                       .fill_digest = wp_sync_fill_digest,
+                                       .peer_changed = on_peer,
+                                       .zone_updates = on_zone_news,
+                                       .suspect_updates = on_suspects,
+                                       .notice_updates = on_notices,
+                                       .usage_updates = on_usage };
--- a/tests/test_peers.c
+++ b/tests/test_peers.c
@@ -31,7 +31,7 @@
     if (!b->got_from)
         b->got_from = g_strdup(from);
     wp_mirror_advance(b->mirror, d->complete);
-    wp_peers_announce(b->peers);
+    wp_peers_schedule_digest(b->peers);
     b->got_delta = true;
 }
 
@@ -193,8 +193,8 @@
 static const WPHubOps mute_ops = { .frame = mute_frame,
                                    .up = mute_up,
                                    .down = mute_link,
-                                   .stamp = mute_stamp,
-                                   .bad = mute_link };
+                                   .before_send = mute_stamp,
+                                   .bad_frame = mute_link };
 
 static void who_is_behind_asks_another_when_one_falls_silent(void **state)
 {
@@ -212,11 +212,11 @@
                           &mute, NULL);
     assert_non_null(mute.hub);
     Box *behind = new_box(&w, "e1"), *ahead = new_box(&w, "e2");
-    wp_peers_member(behind->peers, "e3", addr, "z1");
+    wp_peers_set_member(behind->peers, "e3", addr, "z1");
     assert_true(run_until(&w, &mute.told));
     wp_mirror_put(ahead->mirror, "k", &value, 10, false);
     wp_mirror_advance(ahead->mirror, 10);
-    wp_peers_member(behind->peers, "e2", ahead->addr, "z1");
+    wp_peers_set_member(behind->peers, "e2", ahead->addr, "z1");
     assert_true(run_until(&w, &behind->got_delta));
     assert_int_equal(wp_mirror_complete_revision(behind->mirror), 10);
     free_box(behind);
@@ -237,7 +237,8 @@
 {
     unsigned n = 0;
     for (size_t i = 0; i < w->n; i++)
-        n += !w->boxes[i]->blind && wp_peers_on_duty(w->boxes[i]->peers, false);
+        n += !w->boxes[i]->blind &&
+             wp_peers_is_designated_watcher(w->boxes[i]->peers, false);
     return n;
 }
 
@@ -248,8 +249,8 @@
     (void)what;
     d->reached = on_duty(d->world) == d->wanted;
     for (size_t i = 0; i < d->world->n; i++)
-        d->reached = d->reached &&
-                     wp_peers_linked(d->world->boxes[i]->peers) >= d->links;
+        d->reached = d->reached && wp_peers_linked_count(
+                                       d->world->boxes[i]->peers) >= d->links;
 }
 
 /* Waits until the boxes of the first zone are all linked, and the last box to
@@ -260,9 +261,9 @@
     const World *w = d->world;
     (void)fd;
     (void)what;
-    unsigned far = wp_peers_linked(w->boxes[w->n - 1]->peers), near = 0;
+    unsigned far = wp_peers_linked_count(w->boxes[w->n - 1]->peers), near = 0;
     for (size_t i = 0; i + 1 < w->n; i++)
-        near += wp_peers_linked(w->boxes[i]->peers);
+        near += wp_peers_linked_count(w->boxes[i]->peers);
     d->reached = far > 0 && near == (w->n - 1) * d->links + far;
 }
 
@@ -282,14 +283,14 @@
     for (size_t i = 0; i < w->n; i++)
         for (size_t k = 0; k < w->n; k++)
             if (i != k)
-                wp_peers_member(w->boxes[i]->peers, w->boxes[k]->set.id,
-                                w->boxes[k]->addr, w->boxes[k]->set.zone);
+                wp_peers_set_member(w->boxes[i]->peers, w->boxes[k]->set.id,
+                                    w->boxes[k]->addr, w->boxes[k]->set.zone);
 }
 
 static Box *watcher(const World *w)
 {
     for (size_t i = 0; i < w->n; i++)
-        if (wp_peers_on_duty(w->boxes[i]->peers, false))
+        if (wp_peers_is_designated_watcher(w->boxes[i]->peers, false))
             return w->boxes[i];
     return NULL;
 }
@@ -305,9 +306,9 @@
     assert_true(duty_comes_to(&w, 1));
     Box *first = watcher(&w), *second = first == a ? b : a;
     first->blind = true;
-    wp_peers_announce(first->peers);
+    wp_peers_schedule_digest(first->peers);
     assert_true(duty_comes_to(&w, 1));
-    assert_true(wp_peers_on_duty(second->peers, false));
+    assert_true(wp_peers_is_designated_watcher(second->peers, false));
     assert_int_equal(wp_peers_rank(second->peers), 0);
     free_box(a);
     free_box(b);
@@ -327,10 +328,10 @@
     assert_true(duty_comes_to(&w, 1));
     Box *first = watcher(&w);
     first->blind = true;
-    wp_peers_announce(first->peers);
+    wp_peers_schedule_digest(first->peers);
     assert_true(duty_comes_to(&w, 3));
     first->blind = false;
-    wp_peers_announce(first->peers);
+    wp_peers_schedule_digest(first->peers);
     assert_true(duty_comes_to(&w, 1));
     for (size_t i = 0; i < G_N_ELEMENTS(ids); i++)
         free_box(w.boxes[i]);
@@ -350,7 +351,7 @@
     wp_mirror_advance(near->mirror, 10);
     wp_mirror_put(far->mirror, "k", &value, 11, false);
     wp_mirror_advance(far->mirror, 11);
-    wp_peers_patience(behind->peers, 300);
+    wp_peers_set_pull_delay(behind->peers, 300);
     all_meet(&w);
     assert_true(run_until(&w, &behind->got_delta));
     assert_string_equal(behind->got_from, "e2");
@@ -382,9 +383,9 @@
     assert_true(run_until(&w, &d.reached));
     event_free(e);
     for (size_t i = 0; i < G_N_ELEMENTS(ids); i++)
-        far_links += wp_peers_linked(w.boxes[i]->peers) - fellows;
+        far_links += wp_peers_linked_count(w.boxes[i]->peers) - fellows;
     assert_in_range(far_links, 1, 5);
-    assert_int_equal(wp_peers_linked(far->peers), far_links);
+    assert_int_equal(wp_peers_linked_count(far->peers), far_links);
     for (size_t i = 0; i < w.n; i++)
         free_box(w.boxes[i]);
     event_base_free(w.base);
@@ -397,7 +398,7 @@
     const World *w = d->world;
     (void)fd;
     (void)what;
-    d->reached = wp_peers_linked(w->boxes[w->n - 1]->peers) == w->n - 1;
+    d->reached = wp_peers_linked_count(w->boxes[w->n - 1]->peers) == w->n - 1;
 }
 
 static void note_traffic(void *arg, const char *kind, const char *border,
@@ -447,14 +448,14 @@
     Box *far = new_box_in(&w, "f", "z2");
     all_meet(&w);
     for (size_t i = 0; i < G_N_ELEMENTS(ids); i++)
-        wp_peers_reach_far(w.boxes[i]->peers, true);
+        wp_peers_set_remote_links(w.boxes[i]->peers, true);
     Duty d = { &w, 1, fellows, false };
     struct timeval every = { 0, TICK_MS * WP_US_PER_MS };
     struct event *e = event_new(w.base, -1, EV_PERSIST, look_far, &d);
     event_add(e, &every);
     assert_true(run_until(&w, &d.reached));
     event_free(e);
-    assert_int_equal(wp_peers_linked(far->peers), G_N_ELEMENTS(ids));
+    assert_int_equal(wp_peers_linked_count(far->peers), G_N_ELEMENTS(ids));
     for (size_t i = 0; i < w.n; i++)
         free_box(w.boxes[i]);
     event_base_free(w.base);
@@ -470,8 +471,8 @@
     for (size_t i = 0; i < d->world->n; i++) {
         Wp__ZoneNews z = WP__ZONE_NEWS__INIT;
         WPPeers *p = d->world->boxes[i]->peers;
-        passers += wp_peers_passes_news(p);
-        linked += wp_peers_send_news(p, &z);
+        passers += wp_peers_is_relay_root(p);
+        linked += wp_peers_send_zone_updates(p, &z);
     }
     d->reached = passers == 1 && linked == d->world->n - 1;
 }
@@ -486,7 +487,7 @@
     event_free(e);
     assert_true(ok);
     for (size_t i = 0; i < w->n; i++)
-        if (wp_peers_passes_news(w->boxes[i]->peers))
+        if (wp_peers_is_relay_root(w->boxes[i]->peers))
             return w->boxes[i];
     return NULL;
 }
@@ -514,7 +515,8 @@
     (void)fd;
     (void)what;
     for (size_t i = 0; i < a->world->n; i++) {
-        unsigned n = wp_peers_feeds(a->world->boxes[i]->peers, wp_clock_now(0));
+        unsigned n = wp_peers_relay_child_count(a->world->boxes[i]->peers,
+                                                wp_clock_now(0));
         fed += n;
         most = MAX(most, n);
     }
@@ -553,11 +555,12 @@
     event_add(e, &every);
     z.has_passed_on = z.passed_on = 1;
     wait_for_ways(&w);
-    wp_peers_pass_news(passer->peers, wp_clock_now(0), &z);
+    wp_peers_relay_updates(passer->peers, wp_clock_now(0), &z);
     assert_true(run_until(&w, &a.all));
     for (size_t i = 0; i < w.n; i++) {
         assert_int_equal(w.boxes[i]->news, w.boxes[i] != passer);
-        assert_true(wp_peers_feeds(w.boxes[i]->peers, wp_clock_now(0)) <= 4);
+        assert_true(wp_peers_relay_child_count(w.boxes[i]->peers,
+                                               wp_clock_now(0)) <= 4);
     }
     event_free(e);
     for (size_t i = 0; i < w.n; i++)
@@ -604,7 +607,7 @@
     event_add(e, &every);
     wp_mirror_put(first->mirror, "k", &value, 10, false);
     wp_mirror_advance(first->mirror, 10);
-    wp_peers_announce(first->peers);
+    wp_peers_schedule_digest(first->peers);
     assert_true(run_until(&w, &a.all));
     for (size_t i = 0; i < w.n; i++)
         asked += w.boxes[i]->got_from &&
@@ -634,7 +637,7 @@
     Seen *s = arg;
     (void)fd;
     (void)what;
-    wp_peers_each(s->by->peers, note_peer, &s->met);
+    wp_peers_each_linked(s->by->peers, note_peer, &s->met);
 }
 
 /* Settings are read anew while a process runs, and the old ones go: a box then
@@ -647,7 +650,7 @@
     Box *a = new_box_in(&w, id, zone), *b = new_box(&w, "e2");
     memset(id, '?', sizeof(id) - 1);
     memset(zone, '?', sizeof(zone) - 1);
-    wp_peers_member(b->peers, "e1", a->addr, "z1");
+    wp_peers_set_member(b->peers, "e1", a->addr, "z1");
     Seen s = { b, false };
     struct timeval every = { 0, TICK_MS * WP_US_PER_MS };
     struct event *e = event_new(w.base, -1, EV_PERSIST, look_met, &s);
@@ -684,13 +687,14 @@
     Box *empty = new_box(&w, "e1"), *far = new_box_in(&w, "e2", "z2");
     wp_mirror_put(far->mirror, "k", &value, 10, false);
     wp_mirror_advance(far->mirror, 10);
-    wp_peers_member(empty->peers, "e2", far->addr, "z2");
+    wp_peers_set_member(empty->peers, "e2", far->addr, "z2");
     struct event *e = event_new(w.base, -1, EV_PERSIST, count_down, &ticks);
     event_add(e, &every);
     run_until(&w, &ticks.over);
-    assert_true(wp_peers_entries(empty->peers) > 0); /* it has heard of them */
+    assert_true(wp_peers_max_entries(empty->peers) >
+                0); /* it has heard of them */
     assert_false(empty->got_delta);
-    wp_peers_pull_far(empty->peers, true);
+    wp_peers_set_remote_full_pull(empty->peers, true);
     assert_true(run_until(&w, &empty->got_delta));
     event_free(e);
     free_box(empty);
--- a/tests/test_reports.c
+++ b/tests/test_reports.c
@@ -53,7 +53,7 @@
 
 static bool writes_duty(void)
 {
-    return store.txn_done && !strcmp(store.key, WP_KEY_DUTY);
+    return store.txn_done && !strcmp(store.key, WP_KEY_REPORT_LEASE);
 }
 
 typedef struct Reporter {
@@ -153,9 +153,9 @@
     Reporter r;
     WPStr odd = wp_str("\xff\xff odd");
     init(&r);
-    wp_news_take(r.site.host.sync, WP_KEY_DUTY, &odd, 6, false);
+    wp_store_apply(r.site.host.sync, WP_KEY_REPORT_LEASE, &odd, 6, false);
     assert_false(wait_for_write(&r));
-    wp_news_take(r.site.host.sync, WP_KEY_DUTY, NULL, 7, false);
+    wp_store_apply(r.site.host.sync, WP_KEY_REPORT_LEASE, NULL, 7, false);
     assert_true(wait_for_write(&r));
     end(&r);
 }
--- a/tests/test_seen.c
+++ b/tests/test_seen.c
@@ -10,7 +10,7 @@
 #include "shift_fake.h"
 #include "sync_fake.h"
 
-static const char began_key[] = WP_KEY_BEGAN "llm";
+static const char began_key[] = WP_KEY_SHIFT_BEGAN "llm";
 
 /* The store tells of the order and that its move has begun, and of a record of
    this box when there is one. */
@@ -38,7 +38,7 @@
         tick(s, *ms);
         if (store.txns == had)
             continue;
-        if (g_str_has_prefix(store.key, WP_KEY_SEEN))
+        if (g_str_has_prefix(store.key, WP_KEY_SHIFT_RECORD))
             return;
         const WPKvResult ok = { true, true, 20, NULL, 0 };
         store.txn_done(store.txn_arg, &ok);
@@ -57,7 +57,7 @@
     feed_times(sh, "v2", "n1", 0.02, 0, 4, 5);
     feed_times(sh, "v2", "n2", 0.02, 1, 4, 5);
     wait_record(&s, &ms);
-    assert_string_equal(store.key, WP_KEY_SEEN "llm/e1");
+    assert_string_equal(store.key, WP_KEY_SHIFT_RECORD "llm/e1");
     g_autofree char *key = g_strdup(store.key);
     g_autoptr(GByteArray) record = g_byte_array_new();
     g_byte_array_append(record, store.value->data, store.value->len);
@@ -82,8 +82,9 @@
     assert_int_equal(m->lives[0]->answered + m->lives[1]->answered, 21);
     wp_pb_free(m);
     /* Its own record, told back by the store, counts nothing twice. */
-    wp_seen_take(s.host.sync, "llm/e1",
-                 wp_strn((const char *)store.value->data, store.value->len));
+    wp_shift_record_apply(
+        s.host.sync, "llm/e1",
+        wp_strn((const char *)store.value->data, store.value->len));
     assert_int_equal(wp_canary_pooled_sums(&sh->canary).answered, 21);
     site_end(&s);
 }
@@ -98,12 +99,12 @@
     m.order = sh->revision + 1;
     m.elapsed_ms = ORDER_MS;
     g_autoptr(GByteArray) packed = wp_pb_pack(&m.base);
-    wp_seen_take(s.host.sync, "llm/e2",
-                 wp_strn((const char *)packed->data, packed->len));
+    wp_shift_record_apply(s.host.sync, "llm/e2",
+                          wp_strn((const char *)packed->data, packed->len));
     assert_true(wp_elapsed_ms(&sh->elapsed, wp_clock_now(0)) < ORDER_MS / 2);
     /* Neither does what is no record. */
-    wp_seen_take(s.host.sync, "llm/e2", wp_str("\xff\xff"));
-    wp_seen_take(s.host.sync, "llm", wp_str(""));
+    wp_shift_record_apply(s.host.sync, "llm/e2", wp_str("\xff\xff"));
+    wp_shift_record_apply(s.host.sync, "llm", wp_str(""));
     site_end(&s);
 }
 
@@ -121,7 +122,7 @@
         tick(&s, ms);
         if (store.txns == had)
             continue;
-        records += g_str_has_prefix(store.key, WP_KEY_SEEN);
+        records += g_str_has_prefix(store.key, WP_KEY_SHIFT_RECORD);
         const WPKvResult ok = { true, true, 20 + store.txns, NULL, 0 };
         store.txn_done(store.txn_arg, &ok);
     }
--- a/tests/test_sync.c
+++ b/tests/test_sync.c
@@ -128,7 +128,7 @@
     d.n_items = 1;
     d.has_partial = d.partial = 1;
     wp_sync_peers_ops.delta(s.host.sync, "e3", &d);
-    assert_int_equal(wp_peers_known(s.host.sync->peers), 2);
+    assert_int_equal(wp_peers_known_count(s.host.sync->peers), 2);
     assert_false(s.host.sync->complete);
     assert_false(wp_sync_ready(s.host.sync));
     assert_int_equal(store.ranges, 0);
