--- a/cmd/ctl.h
+++ b/cmd/ctl.h
@@ -45,7 +45,7 @@
 int ctl_bills(Ctl *c);
 
 /* Calls that wait for their answer. */
-bool ctl_range(Ctl *c, const char *key, const char *end, WPKvDone done,
+bool ctl_range(Ctl *c, const char *key, const char *end, WPKvResultFn done,
                void *arg);
 
 /* The store's configuration; NULL after saying what went wrong. */
--- a/cmd/ctl_view.c
+++ b/cmd/ctl_view.c
@@ -33,7 +33,7 @@
 }
 
 typedef struct Range {
-    WPKvDone done;
+    WPKvResultFn done;
     void *arg;
     bool ok, ended;
 } Range;
@@ -47,7 +47,7 @@
         range->done(range->arg, r);
 }
 
-bool ctl_range(Ctl *c, const char *key, const char *end, WPKvDone done,
+bool ctl_range(Ctl *c, const char *key, const char *end, WPKvResultFn done,
                void *arg)
 {
     Range range = { done, arg, false, false };
--- a/io/wp_attempts.c
+++ b/io/wp_attempts.c
@@ -37,13 +37,13 @@
     detach(x);
     wp_list_remove(&x->node);
     wp_request_free(x->request);
-    json_decref(x->body);
-    if (x->raw)
-        g_byte_array_unref(x->raw);
-    if (x->held)
-        evbuffer_free(x->held);
-    if (x->copy)
-        g_string_free(x->copy, TRUE);
+    json_decref(x->json_body);
+    if (x->raw_body)
+        g_byte_array_unref(x->raw_body);
+    if (x->pending_answer)
+        evbuffer_free(x->pending_answer);
+    if (x->rating_copy)
+        g_string_free(x->rating_copy, TRUE);
     g_free(x->path);
     g_free(x->method);
     g_free(x->content_type);
@@ -75,11 +75,11 @@
     Wp__Frame f = WP__FRAME__INIT;
     Wp__Window w = WP__WINDOW__INIT;
     size_t window = (size_t)x->server->settings->window_kb << 10;
-    x->credit += bytes;
-    if (!x->link || x->credit < window / GRANT_DIVISOR)
+    x->ungranted_bytes += bytes;
+    if (!x->link || x->ungranted_bytes < window / GRANT_DIVISOR)
         return;
-    w.bytes = (uint32_t)x->credit;
-    x->credit = 0;
+    w.bytes = (uint32_t)x->ungranted_bytes;
+    x->ungranted_bytes = 0;
     f.body_case = WP__FRAME__BODY_WINDOW;
     f.window = &w;
     send_on_stream(x, &f);
@@ -90,16 +90,17 @@
    stream with the request to report token usage. */
 static char *make_chat_body(WPExchange *x, size_t *size)
 {
-    json_object_set_new(x->body, "model", json_string(x->request->version));
+    json_object_set_new(x->json_body, "model",
+                        json_string(x->request->version));
     if (x->stream) {
-        json_t *o = json_object_get(x->body, "stream_options");
+        json_t *o = json_object_get(x->json_body, "stream_options");
         if (!json_is_object(o)) {
             o = json_object();
-            json_object_set_new(x->body, "stream_options", o);
+            json_object_set_new(x->json_body, "stream_options", o);
         }
         json_object_set_new(o, "include_usage", json_true());
     }
-    char *text = json_dumps(x->body, JSON_COMPACT);
+    char *text = json_dumps(x->json_body, JSON_COMPACT);
     *size = strlen(text);
     return text;
 }
@@ -186,26 +187,26 @@
     Wp__Frame f = WP__FRAME__INIT;
     Wp__Start start = WP__START__INIT;
     size_t size;
-    evbuffer_drain(x->held, evbuffer_get_length(x->held));
-    x->credit = 0;
-    if (x->copy)
-        g_string_free(x->copy, TRUE);
-    x->copy = x->request->ask_rating ? g_string_new(NULL) : NULL;
+    evbuffer_drain(x->pending_answer, evbuffer_get_length(x->pending_answer));
+    x->ungranted_bytes = 0;
+    if (x->rating_copy)
+        g_string_free(x->rating_copy, TRUE);
+    x->rating_copy = x->request->ask_rating ? g_string_new(NULL) : NULL;
     x->link = wp_hub_get_link(wp_host_hub(s->host), p->addr);
     if (!x->link) {
-        wp_exchange_do(
+        wp_exchange_run_action(
             x, wp_entry_lost(s->entry, current_time(x), x->request, false));
         return;
     }
     x->link->in_flight++;
     x->stream_id = ++s->next_stream;
-    x->start_at = x->link->queued_bytes;
+    x->start_offset = x->link->queued_bytes;
     g_hash_table_insert(s->streams, &x->stream_id, x);
     fill_start(x, &start);
-    char *text = x->body ? make_chat_body(x, &size) : NULL;
+    char *text = x->json_body ? make_chat_body(x, &size) : NULL;
     start.has_body = 1;
-    start.body.data = text ? (uint8_t *)text : x->raw->data;
-    start.body.len = text ? size : x->raw->len;
+    start.body.data = text ? (uint8_t *)text : x->raw_body->data;
+    start.body.len = text ? size : x->raw_body->len;
     start.labels = copy_labels(x->request->labels, &start.n_labels);
     f.body_case = WP__FRAME__BODY_START;
     f.start = &start;
@@ -225,10 +226,11 @@
 static void request_check(WPExchange *x)
 {
     WPHttp *ratings = wp_host_ratings(x->server->host);
-    size_t n = evbuffer_get_length(x->held);
+    size_t n = evbuffer_get_length(x->pending_answer);
     if (!ratings) {
-        wp_exchange_do(x, wp_entry_checked(x->server->entry, current_time(x),
-                                           x->request, true));
+        wp_exchange_run_action(x, wp_entry_checked(x->server->entry,
+                                                   current_time(x), x->request,
+                                                   true));
         return;
     }
     QualityCheck *c = g_new0(QualityCheck, 1);
@@ -236,8 +238,8 @@
     g_strlcpy(c->id, x->request->id, sizeof(c->id));
     json_t *o = json_pack("{s:s,s:s,s:s}", "request_id", x->request->id, "kind",
                           x->request->kind, "version", x->request->version);
-    json_t *answer =
-        json_stringn_nocheck((const char *)evbuffer_pullup(x->held, -1), n);
+    json_t *answer = json_stringn_nocheck(
+        (const char *)evbuffer_pullup(x->pending_answer, -1), n);
     json_object_set_new(o, "answer", answer ? answer : json_null());
     char *text = json_dumps(o, JSON_COMPACT);
     wp_http_call(ratings, "/v1/check", text, on_check_result, g_free, c);
@@ -263,8 +265,9 @@
     /* Without a result the answer is accepted: the check only saves cost. */
     bool is_good = !json_is_false(json_object_get(j, "good"));
     if (x)
-        wp_exchange_do(x, wp_entry_checked(c->server->entry, current_time(x),
-                                           x->request, is_good));
+        wp_exchange_run_action(x, wp_entry_checked(c->server->entry,
+                                                   current_time(x), x->request,
+                                                   is_good));
     json_decref(j);
     g_free(c);
 }
@@ -280,11 +283,12 @@
 static void submit_for_rating(WPExchange *x)
 {
     WPHttp *ratings = wp_host_ratings(x->server->host);
-    if (!ratings || !x->copy)
+    if (!ratings || !x->rating_copy)
         return;
     json_t *o = json_pack("{s:s,s:s,s:s}", "request_id", x->request->id, "kind",
                           x->request->kind, "version", x->request->version);
-    json_t *answer = json_stringn_nocheck(x->copy->str, x->copy->len);
+    json_t *answer =
+        json_stringn_nocheck(x->rating_copy->str, x->rating_copy->len);
     json_object_set_new(o, "answer", answer ? answer : json_null());
     char *text = json_dumps(o, JSON_COMPACT);
     wp_http_call(ratings, "/v1/submit", text, ignore_result, NULL, NULL);
@@ -292,7 +296,7 @@
     json_decref(o);
 }
 
-void wp_exchange_do(WPExchange *x, WPStep step)
+void wp_exchange_run_action(WPExchange *x, WPStep step)
 {
     switch (step.kind) {
     case WP_STEP_SEND:
@@ -302,16 +306,16 @@
         request_check(x);
         return;
     case WP_STEP_LATER:
-        x->again_us = current_time(x).mono_us +
-                      (int64_t)step.retry_after_ms * WP_US_PER_MS;
+        x->retry_at_us = current_time(x).mono_us +
+                         (int64_t)step.retry_after_ms * WP_US_PER_MS;
         return;
     case WP_STEP_DONE:
         submit_for_rating(x);
-        wp_reply_end(x);
+        wp_reply_finish(x);
         break;
     case WP_STEP_FINAL:
-        if (x->replying) {
-            wp_reply_broken(x, step.code);
+        if (x->reply_started) {
+            wp_reply_abort(x, step.code);
         } else if (x->http) {
             struct evhttp_request *r = x->http;
             x->http = NULL;
@@ -329,18 +333,18 @@
 {
     if (x->request->escalate)
         return true;
-    return !x->stream && evbuffer_get_length(x->held) <= HOLD_MAX;
+    return !x->stream && evbuffer_get_length(x->pending_answer) <= HOLD_MAX;
 }
 
 static void on_chunk(WPExchange *x, const Wp__Chunk *c)
 {
     wp_entry_first_bytes(x->server->entry, current_time(x), x->request);
-    evbuffer_add(x->held, c->data.data, c->data.len);
-    if (x->copy && x->copy->len + c->data.len <= RATED_COPY_MAX)
-        g_string_append_len(x->copy, (const char *)c->data.data,
+    evbuffer_add(x->pending_answer, c->data.data, c->data.len);
+    if (x->rating_copy && x->rating_copy->len + c->data.len <= RATED_COPY_MAX)
+        g_string_append_len(x->rating_copy, (const char *)c->data.data,
                             (gssize)c->data.len);
-    if (x->replying || !must_buffer(x))
-        wp_reply_pass_on(x);
+    if (x->reply_started || !must_buffer(x))
+        wp_reply_forward(x);
     else
         wp_exchange_grant(x, c->data.len);
 }
@@ -364,12 +368,12 @@
     wp_link_send(l, &f);
 }
 
-void wp_legs_tell_witness(WPServer *s)
+void wp_attempts_send_backup(WPServer *s)
 {
     wp_entry_tell_witness(s->entry, wp_host_now(s->host), send_backup, s);
 }
 
-void wp_legs_frame(WPServer *s, WPLink *l, Wp__Frame *f)
+void wp_attempts_on_frame(WPServer *s, WPLink *l, Wp__Frame *f)
 {
     WPTime now = wp_host_now(s->host);
     if (f->body_case == WP__FRAME__BODY_WITNESS)
@@ -400,24 +404,25 @@
         break;
     case WP__FRAME__BODY_END:
         detach(x);
-        wp_exchange_do(x, wp_entry_ended(s->entry, now, x->request, f->end));
+        wp_exchange_run_action(
+            x, wp_entry_ended(s->entry, now, x->request, f->end));
         /* Sent at once, as this entry and the agent may crash before the next
            tick. */
-        wp_legs_tell_witness(s);
+        wp_attempts_send_backup(s);
         break;
     case WP__FRAME__BODY_REFUSE:
         detach(x);
-        wp_exchange_do(x, wp_entry_refused(s->entry, now, x->request,
-                                           (WPCode)f->refuse->code,
-                                           (WPRan)f->refuse->ran,
-                                           f->refuse->retry_after_ms));
+        wp_exchange_run_action(x, wp_entry_refused(s->entry, now, x->request,
+                                                   (WPCode)f->refuse->code,
+                                                   (WPRan)f->refuse->ran,
+                                                   f->refuse->retry_after_ms));
         break;
     default:
         break;
     }
 }
 
-void wp_legs_down(WPServer *s, WPLink *l)
+void wp_attempts_on_link_down(WPServer *s, WPLink *l)
 {
     WPTime now = wp_host_now(s->host);
     uint64_t written = wp_link_written_bytes(l);
@@ -426,8 +431,9 @@
         WPExchange *x = wp_list_item(it, WPExchange, node);
         if (x->link != l)
             continue;
-        bool sent = l->connected && x->start_at < written;
+        bool sent = l->connected && x->start_offset < written;
         detach(x);
-        wp_exchange_do(x, wp_entry_lost(s->entry, now, x->request, sent));
+        wp_exchange_run_action(x,
+                               wp_entry_lost(s->entry, now, x->request, sent));
     }
 }
--- a/io/wp_clock.c
+++ b/io/wp_clock.c
@@ -5,10 +5,10 @@
 
 enum { NS_PER_US = 1000 };
 
-/* The clock that also counts while the machine is suspended. With the steady
-   one, which stands still then, a request held its endpoint for the time of the
-   suspension longer, and a suspension of 5 s looked like a step of the time of
-   day, which is followed within 45 s. */
+/* CLOCK_BOOTTIME also counts while the machine is suspended. CLOCK_MONOTONIC
+   does not: with it, a request occupied its endpoint longer by the time of the
+   suspension, and a suspension of 5 s was taken for a step of the wall clock,
+   which is slewed over up to 45 s. */
 static int64_t since_boot_us(void)
 {
     struct timespec t;
@@ -28,16 +28,16 @@
     return g_random_int();
 }
 
-void wp_clock_watch(WPLog *l, WPClockMonitor *s, WPTime now)
+void wp_clock_check(WPLog *l, WPClockMonitor *m, WPTime now)
 {
-    WPClockSample look = wp_clock_monitor_sample(s, now);
+    WPClockSample sample = wp_clock_monitor_sample(m, now);
     g_autofree char *step = NULL, *pause = NULL;
-    if (look.step_ms) {
-        step = g_strdup_printf("%ld", (long)look.step_ms);
+    if (sample.step_ms) {
+        step = g_strdup_printf("%ld", (long)sample.step_ms);
         wp_log(l, WP_WARN, "clock_stepped", "by_ms", step, NULL);
     }
-    if (look.pause_ms) {
-        pause = g_strdup_printf("%ld", (long)look.pause_ms);
+    if (sample.pause_ms) {
+        pause = g_strdup_printf("%ld", (long)sample.pause_ms);
         wp_log(l, WP_WARN, "paused", "ms", pause, NULL);
     }
 }
--- a/io/wp_digest.c
+++ b/io/wp_digest.c
@@ -57,7 +57,7 @@
         merge_failing_under_load(s, now, d->fails_loaded[i]);
     merge_cached_prefixes(s, now, d);
     if (s->reports)
-        wp_reports_hear_clock(s->reports, now, from, d);
+        wp_reports_observe_clock(s->reports, now, from, d);
     int64_t confirmed_us = wp_staleness_peer_confirmed_us(now, d->age_ms);
     if (d->has_age_ms) {
         wp_staleness_confirm(&s->staleness, confirmed_us);
@@ -137,7 +137,7 @@
     d->has_age_ms = s->staleness.confirmed_us > 0;
     d->age_ms = (uint32_t)((now_us - s->staleness.confirmed_us) / WP_US_PER_MS);
     if (s->reports)
-        wp_reports_fill(s->reports, now, d);
+        wp_reports_fill_digest(s->reports, now, d);
     Fill f = { s, now, d };
     d->moves = s->sums_list;
     wp_shifts_each(s->host->direct.shifts, fill_sums, &f);
--- a/io/wp_direct_admin.c
+++ b/io/wp_direct_admin.c
@@ -1,4 +1,5 @@
-/* Whether the box takes requests, for the balancer, and its metrics. */
+/* Answers the load balancer's readiness check and exports the metrics of a box
+ * in direct mode. */
 #include "wp_direct_int.h"
 #include "wp_code.h"
 #include "wp_http.h"
@@ -6,11 +7,11 @@
 static void on_ready(struct evhttp_request *r, void *arg)
 {
     WPDirectHost *h = arg;
-    bool ready = !h->leaving && wp_sync_ready(h->sync);
+    bool ready = !h->draining && wp_sync_ready(h->sync);
     wp_http_reply_text(r, ready ? 200 : 503, "text/plain",
-                       wp_str(ready        ? "ready\n"
-                              : h->leaving ? "leaving\n"
-                                           : "starting\n"));
+                       wp_str(ready         ? "ready\n"
+                              : h->draining ? "leaving\n"
+                                            : "starting\n"));
 }
 
 typedef struct Page {
@@ -18,7 +19,7 @@
     GString *text;
 } Page;
 
-static void add_zone_out(void *arg, const char *zone)
+static void add_evacuated_zone(void *arg, const char *zone)
 {
     Page *z = arg;
     g_string_append_printf(z->text, "wp_zone_out{box=\"%s\",zone=\"%s\"} 1\n",
@@ -37,7 +38,7 @@
             (unsigned long)s->reported.limit->own_send_count);
 }
 
-static void add_kept_out(void *arg, const WPSuspect *p)
+static void add_quarantined(void *arg, const WPSuspect *p)
 {
     Page *z = arg;
     unsigned n = wp_suspect_crash_count(p);
@@ -47,14 +48,15 @@
             z->box, (unsigned long)p->request, n);
 }
 
-static void add_traffic(void *arg, const char *kind, const char *border,
-                        const char *way, uint64_t bytes)
+static void add_peer_bytes(void *arg, const char *kind, const char *scope,
+                           const char *direction, uint64_t bytes)
 {
     Page *z = arg;
     g_string_append_printf(z->text,
                            "wp_peer_bytes_total{box=\"%s\",kind=\"%s\","
                            "border=\"%s\",way=\"%s\"} %lu\n",
-                           z->box, kind, border, way, (unsigned long)bytes);
+                           z->box, kind, scope, direction,
+                           (unsigned long)bytes);
 }
 
 static void on_metrics(struct evhttp_request *r, void *arg)
@@ -73,11 +75,12 @@
         "wp_held_bytes{%s} %lu\n"
         "wp_list_age_seconds{%s} %.3f\n"
         "wp_log_lines_dropped_total{%s} %lu\n",
-        labels, h->n_relays, labels, wp_downstream_connection_count(h->front),
-        labels, (unsigned long)wp_upstream_connections_opened(h->back), labels,
-        wp_sync_store_up(h->sync), labels, wp_sync_reports_usage(h->sync),
-        labels, (gulong)h->held.bytes, labels,
-        (double)wp_sync_list_age_ms(h->sync, wp_clock_now(0)) / WP_MS_PER_S,
+        labels, h->n_relays, labels,
+        wp_downstream_connection_count(h->downstream), labels,
+        (unsigned long)wp_upstream_connections_opened(h->upstream), labels,
+        wp_sync_store_up(h->sync), labels, wp_sync_holds_report_lease(h->sync),
+        labels, (gulong)h->buffered.bytes, labels,
+        (double)wp_sync_registry_age_ms(h->sync, wp_clock_now(0)) / WP_MS_PER_S,
         labels, (unsigned long)h->log.dropped);
     const WPNoticeCount notices =
         wp_fleet_count_notices(h->direct.fleet, wp_clock_now(0));
@@ -85,10 +88,10 @@
         out, "wp_endpoints_leaving{%s} %u\nwp_endpoints_resting{%s} %u\n",
         labels, notices.draining, labels, notices.backing_off);
     Page z = { s->id, out };
-    wp_fleet_each_evacuated_zone(h->direct.fleet, add_zone_out, &z);
-    wp_suspects_each(h->direct.suspects, add_kept_out, &z);
+    wp_fleet_each_evacuated_zone(h->direct.fleet, add_evacuated_zone, &z);
+    wp_suspects_each(h->direct.suspects, add_quarantined, &z);
     wp_fleet_each(h->direct.fleet, add_limit, &z);
-    wp_traffic_each(wp_sync_traffic(h->sync), add_traffic, &z);
+    wp_peer_traffic_each(wp_sync_traffic(h->sync), add_peer_bytes, &z);
     wp_http_reply_text(r, 200, "text/plain; version=0.0.4",
                        wp_strn(out->str, out->len));
 }
--- a/io/wp_direct_host.c
+++ b/io/wp_direct_host.c
@@ -1,4 +1,4 @@
-/* The direct entry's process. */
+/* The process of a box in direct mode. */
 #include "wp_direct_int.h"
 #include "wp_pb.h"
 #include "wp_rollout.h"
@@ -9,20 +9,24 @@
 
 enum {
     TICK_MS = 50,
-    TRAFFIC_MS = 10000, /* between lines on bytes to other boxes */
-    LATE_MS = 200, /* a tick that is so late: the loop's timers may have stood
-                      still, as the machine was suspended */
-    CONNECT_MS = 400, /* a lost opening packet is sent again after a second:
-                         another endpoint is asked before that */
-    IDLE_MS = 4000,   /* of connections whose endpoint told no time */
-    IDLE_ONCE_MS = 800,
-    LEAVE_TAKE_MS = 2800, /* how long a leaving box takes all requests: the
-                             balancer asks once a second and turns away after
-                             two misses; then it takes those that it can
-                             finish */
-    LEAVE_IDLE_MS = 300,  /* a connection that rests so long is closed */
-    LEAVE_SPARE_MS = 500, /* before the platform's kill */
-    LEAVE_WRITE_MS = 300  /* what is answered last still has to leave */
+    TRAFFIC_LOG_MS = 10000, /* between log lines on bytes to other boxes */
+    LATE_TICK_MS = 200, /* after so long without a tick, the loop's timers may
+                           have stood still, as the machine was suspended */
+    CONNECT_MS = 400, /* TCP sends a lost SYN again after 1 s: another endpoint
+                         is tried before that */
+    IDLE_MS = 4000,   /* idle time after which a connection is closed whose
+                         endpoint stated none */
+    IDLE_ONCE_MS = 800,     /* idle time up to which a connection is used for
+                               non-repeatable requests */
+    DRAIN_ACCEPT_MS = 2800, /* how long a draining box accepts all requests: the
+                               load balancer checks once a second and takes the
+                               box out after two failures; after that the box
+                               accepts only requests that it can finish */
+    DRAIN_IDLE_MS = 300,    /* then connections of callers that are idle for
+                               this time are closed */
+    DRAIN_MARGIN_MS = 500,  /* the process exits so long before the platform
+                               kills it */
+    DRAIN_WRITE_MS = 300    /* left for writing out the last answers */
 };
 
 static void free_event(struct event *e)
@@ -31,67 +35,74 @@
         event_free(e);
 }
 
-/* Ends when no request is left, at the latest before the kill. */
-static void carry_on_leaving(WPDirectHost *h, WPTime now)
+/* Called on each tick of a planned stop. Ends the event loop when no connection
+   and no request is left, at the latest DRAIN_MARGIN_MS before the platform
+   kills the process. */
+static void continue_drain(WPDirectHost *h, WPTime now)
 {
-    int64_t ms = (now.mono_us - h->leave_us) / WP_US_PER_MS;
-    int64_t most = (int64_t)(h->settings->drain_s * WP_MS_PER_S);
+    int64_t ms = (now.mono_us - h->drain_start_us) / WP_US_PER_MS;
+    int64_t limit = (int64_t)(h->settings->drain_s * WP_MS_PER_S);
     unsigned open;
-    if (ms < LEAVE_TAKE_MS)
+    if (ms < DRAIN_ACCEPT_MS)
         return;
-    h->end_us =
-        h->leave_us + (most - LEAVE_SPARE_MS - LEAVE_WRITE_MS) * WP_US_PER_MS;
-    open = wp_downstream_close_idle(h->front, now, LEAVE_IDLE_MS);
-    if ((!open && !h->n_relays) || ms >= most - LEAVE_SPARE_MS)
+    h->exit_us = h->drain_start_us +
+                 (limit - DRAIN_MARGIN_MS - DRAIN_WRITE_MS) * WP_US_PER_MS;
+    open = wp_downstream_close_idle(h->downstream, now, DRAIN_IDLE_MS);
+    if ((!open && !h->n_relays) || ms >= limit - DRAIN_MARGIN_MS)
         event_base_loopbreak(h->base);
 }
 
-static void add_traffic(void *arg, const char *kind, const char *border,
-                        const char *way, uint64_t bytes)
+static void add_peer_bytes(void *arg, const char *kind, const char *scope,
+                           const char *direction, uint64_t bytes)
 {
     GString *text = arg;
     g_string_append_printf(text, "%s%s/%s/%s=%lu", text->len ? "," : "", kind,
-                           border, way, (unsigned long)bytes);
+                           scope, direction, (unsigned long)bytes);
 }
 
-/* What boxes tell each other is paid for by the byte: where it goes is seen in
-   the log as well, of processes that nobody asks for metrics. */
-static void log_traffic(WPDirectHost *h, WPTime now)
+/* Traffic between boxes is paid for by the byte. Its volume is logged as well
+   as exported as a metric, for processes whose metrics are not collected. */
+static void log_peer_traffic(WPDirectHost *h, WPTime now)
 {
-    int64_t age_us = now.mono_us - h->traffic_us;
-    if (h->traffic_us && age_us < (int64_t)TRAFFIC_MS * WP_US_PER_MS)
+    int64_t age_us = now.mono_us - h->traffic_logged_us;
+    if (h->traffic_logged_us && age_us < (int64_t)TRAFFIC_LOG_MS * WP_US_PER_MS)
         return;
-    if (h->traffic_us) {
+    if (h->traffic_logged_us) {
         g_autoptr(GString) text = g_string_new(NULL);
-        wp_traffic_each(wp_sync_traffic(h->sync), add_traffic, text);
+        wp_peer_traffic_each(wp_sync_traffic(h->sync), add_peer_bytes, text);
         wp_log(&h->log, WP_INFO, "peer_bytes", "since_start", text->str, NULL);
     }
-    h->traffic_us = now.mono_us;
+    h->traffic_logged_us = now.mono_us;
 }
 
-/* What slow readers leave here is bounded by the machine's memory. */
-static void watch_held(WPDirectHost *h, WPTime now)
+/* Bounds the bytes buffered for slow readers by the machine's memory. Above the
+   limit, large bodies are not read any further, and callers that have read
+   nothing for WP_BUFFERED_READ_TIMEOUT_MS are disconnected. */
+static void check_buffered(WPDirectHost *h, WPTime now)
 {
-    uint64_t sum = wp_downstream_poll_buffered(h->front, now) +
-                   wp_upstream_unsent_bytes(h->back) + wp_relay_held(h);
-    bool changed = wp_buffered_update(&h->held, sum);
-    unsigned cut = 0;
+    uint64_t sum = wp_downstream_poll_buffered(h->downstream, now) +
+                   wp_upstream_unsent_bytes(h->upstream) +
+                   wp_relay_buffered_bytes(h);
+    bool changed = wp_buffered_update(&h->buffered, sum);
+    unsigned closed = 0;
     if (changed) {
-        wp_downstream_set_over_limit(h->front, h->held.over_limit);
-        if (!h->held.over_limit)
-            wp_relay_go_on(h);
+        wp_downstream_set_over_limit(h->downstream, h->buffered.over_limit);
+        if (!h->buffered.over_limit)
+            wp_relay_resume_reads(h);
     }
-    if (h->held.over_limit)
-        cut = wp_downstream_close_unread(h->front, now,
-                                         WP_BUFFERED_READ_TIMEOUT_MS);
-    h->direct.counters.value[WP_C_CUT_UNREAD] += cut;
-    if (!changed && !cut)
+    if (h->buffered.over_limit)
+        closed = wp_downstream_close_unread(h->downstream, now,
+                                            WP_BUFFERED_READ_TIMEOUT_MS);
+    h->direct.counters.value[WP_C_CUT_UNREAD] += closed;
+    if (!changed && !closed)
         return;
     g_autofree char *bytes = g_strdup_printf("%lu", (gulong)sum);
-    g_autofree char *most = g_strdup_printf("%lu", (gulong)h->held.limit_bytes);
-    g_autofree char *n = g_strdup_printf("%u", cut);
-    wp_log(&h->log, WP_WARN, h->held.over_limit ? "held_over" : "held_under",
-           "bytes", bytes, "most", most, "callers_cut", n, NULL);
+    g_autofree char *limit =
+        g_strdup_printf("%lu", (gulong)h->buffered.limit_bytes);
+    g_autofree char *n = g_strdup_printf("%u", closed);
+    wp_log(&h->log, WP_WARN,
+           h->buffered.over_limit ? "held_over" : "held_under", "bytes", bytes,
+           "most", limit, "callers_cut", n, NULL);
 }
 
 static void on_tick(evutil_socket_t fd, short what, void *arg)
@@ -100,18 +111,19 @@
     WPTime now = wp_clock_now(0);
     (void)fd;
     (void)what;
-    bool late = now.mono_us - h->steady.last.mono_us > LATE_MS * WP_US_PER_MS;
-    wp_clock_watch(&h->log, &h->steady, now);
+    bool late = now.mono_us - h->clock_monitor.last.mono_us >
+                LATE_TICK_MS * WP_US_PER_MS;
+    wp_clock_check(&h->log, &h->clock_monitor, now);
     if (late)
-        wp_relay_set_timers(h, now);
+        wp_relay_reset_deadlines(h, now);
     wp_direct_tick(&h->direct, now);
-    wp_upstream_tick(h->back, now);
+    wp_upstream_tick(h->upstream, now);
     wp_sync_tick(h->sync, now);
-    watch_held(h, now);
-    log_traffic(h, now);
+    check_buffered(h, now);
+    log_peer_traffic(h, now);
     wp_log_flush(&h->log);
-    if (h->leaving)
-        carry_on_leaving(h, now);
+    if (h->draining)
+        continue_drain(h, now);
 }
 
 static void on_term(evutil_socket_t fd, short what, void *arg)
@@ -119,22 +131,22 @@
     WPDirectHost *h = arg;
     (void)fd;
     (void)what;
-    if (h->leaving)
+    if (h->draining)
         return;
-    h->leaving = true;
-    h->leave_us = wp_clock_now(0).mono_us;
+    h->draining = true;
+    h->drain_start_us = wp_clock_now(0).mono_us;
     wp_shifts_set_draining(h->direct.shifts, true);
     wp_log(&h->log, WP_INFO, "leaving", NULL);
-    wp_downstream_start_drain(h->front);
+    wp_downstream_start_drain(h->downstream);
 }
 
-/* A duration of the settings, up to a whole millisecond. */
+/* Converts a duration of the settings to ms, rounded up. */
 static uint32_t in_ms(double s)
 {
     return (uint32_t)ceil(s * WP_MS_PER_S);
 }
 
-static WPDirectRules rules_of(const Wp__DirectSettings *s)
+static WPDirectRules rules_from(const Wp__DirectSettings *s)
 {
     return (WPDirectRules){
         .box = wp_hash(wp_str(s->id), 0),
@@ -159,8 +171,8 @@
     };
 }
 
-/* Each "ZONE=AREA". */
-static void take_areas(WPDirectHost *h)
+/* Applies the setting `areas`, each of the form "ZONE=AREA". */
+static void apply_areas(WPDirectHost *h)
 {
     const Wp__DirectSettings *s = h->settings;
     for (size_t i = 0; i < s->n_areas; i++) {
@@ -184,11 +196,12 @@
                              h->file, &error);
     if (!s)
         wp_log(&h->log, WP_ERROR_LEVEL, "reload_failed", "why",
-               error ? error->message : "no file", NULL);
+               error ? error->message : "no settings file was given", NULL);
     return s;
 }
 
-/* Takes the rules that may change while running; addresses stay. */
+/* Reloads the settings on SIGHUP: rules and limits change, addresses stay as
+   they were at the start. */
 static void on_hup(evutil_socket_t fd, short what, void *arg)
 {
     WPDirectHost *h = arg;
@@ -200,10 +213,10 @@
     wp_pb_free(h->settings);
     h->settings = s;
     h->log.box = s->id;
-    h->direct.rules = rules_of(s);
+    h->direct.rules = rules_from(s);
     wp_fleet_set_rules(h->direct.fleet, &h->direct.rules.fleet);
-    wp_buffered_set_limit(&h->held, s->memory_mb);
-    take_areas(h);
+    wp_buffered_set_limit(&h->buffered, s->memory_mb);
+    apply_areas(h);
     wp_log(&h->log, WP_INFO, "reloaded", NULL);
 }
 
@@ -219,19 +232,19 @@
     return h->chart != NULL;
 }
 
-static bool open_sides(WPDirectHost *h, GError **error)
+static bool open_connections(WPDirectHost *h, GError **error)
 {
     static const WPUpstreamRules back_rules = { CONNECT_MS, IDLE_MS,
                                                 IDLE_ONCE_MS };
     const Wp__DirectSettings *s = h->settings;
     const WPRouteLimits limits = { 16 << 10, 4 << 20, 5000, 30000 };
-    h->back =
-        wp_upstream_new(h->base, s->listen, &back_rules, &wp_relay_back_ops);
-    h->front =
-        wp_downstream_new(h->base, s->http, &wp_relay_front_ops, h, error);
-    if (!h->front || !wp_direct_open_admin(h, error))
+    h->upstream = wp_upstream_new(h->base, s->listen, &back_rules,
+                                  &wp_relay_upstream_ops);
+    h->downstream =
+        wp_downstream_new(h->base, s->http, &wp_relay_downstream_ops, h, error);
+    if (!h->downstream || !wp_direct_open_admin(h, error))
         return false;
-    wp_downstream_set_limits(h->front, &limits);
+    wp_downstream_set_limits(h->downstream, &limits);
     h->sync = wp_sync_new(h, error);
     return h->sync != NULL;
 }
@@ -260,14 +273,14 @@
     h->base = event_base_new();
     wp_list_init(&h->relays);
     wp_log_init(&h->log, h->settings->id, s->log_level, s->log_format);
-    wp_log_gather(&h->log, s->log_kb_per_s << 10);
-    WPDirectRules rules = rules_of(h->settings);
+    wp_log_enable_buffering(&h->log, s->log_kb_per_s << 10);
+    WPDirectRules rules = rules_from(h->settings);
     bool ok = read_chart(h, error);
     wp_direct_init(&h->direct, &rules, h->chart, seed);
-    wp_buffered_set_limit(&h->held, h->settings->memory_mb);
+    wp_buffered_set_limit(&h->buffered, h->settings->memory_mb);
     h->direct.start.start_us = wp_clock_now(0).mono_us;
-    take_areas(h);
-    if (ok && open_sides(h, error)) {
+    apply_areas(h);
+    if (ok && open_connections(h, error)) {
         open_signals(h);
         return h;
     }
@@ -278,7 +291,7 @@
 void wp_direct_host_run(WPDirectHost *h)
 {
     wp_log(&h->log, WP_INFO, "started", "version", WP_VERSION, NULL);
-    wp_clock_watch(&h->log, &h->steady, wp_clock_now(0));
+    wp_clock_check(&h->log, &h->clock_monitor, wp_clock_now(0));
     event_base_dispatch(h->base);
     wp_log(&h->log, WP_INFO, "stopped", NULL);
 }
@@ -290,8 +303,8 @@
     free_event(h->tick);
     free_event(h->term);
     free_event(h->hup);
-    wp_downstream_free(h->front);
-    wp_upstream_free(h->back);
+    wp_downstream_free(h->downstream);
+    wp_upstream_free(h->upstream);
     wp_sync_free(h->sync);
     wp_direct_close_admin(h);
     wp_direct_end(&h->direct);
--- a/io/wp_direct_host.h
+++ b/io/wp_direct_host.h
@@ -1,5 +1,6 @@
-/* An entry that calls endpoints directly: the event loop, the callers' side,
- * the endpoints' side, the store, and the orderly stop. */
+/* The process of a box in direct mode, which calls endpoints without agents:
+ * event loop, connections of callers, connections to endpoints, client of the
+ * store, and planned stop. */
 #ifndef WP_DIRECT_HOST_H
 #define WP_DIRECT_HOST_H
 
@@ -8,14 +9,15 @@
 
 typedef struct WPDirectHost WPDirectHost;
 
-/* NULL and an error when an address cannot be used or the chart not read.
-   `file` is read anew at SIGHUP; NULL: nothing is. */
+/* Opens all listeners. Returns NULL and an error if an address cannot be used
+   or the chart cannot be read. `s` is copied. The settings are read again from
+   `file` on SIGHUP; with NULL, reloading fails. */
 WPDirectHost *wp_direct_host_new(const Wp__DirectSettings *s,
                                  const WPPlatformOps *platform,
                                  const char *file, GError **error);
 void wp_direct_host_free(WPDirectHost *h);
 
-/* Runs until a planned stop has ended. */
+/* Runs the event loop until a planned stop, begun by SIGTERM, has completed. */
 void wp_direct_host_run(WPDirectHost *h);
 
 #endif
--- a/io/wp_direct_int.h
+++ b/io/wp_direct_int.h
@@ -1,4 +1,4 @@
-/* What the parts of the direct entry share. */
+/* Internals of the process in direct mode, shared by its source files. */
 #ifndef WP_IO_DIRECT_INT_H
 #define WP_IO_DIRECT_INT_H
 
@@ -8,7 +8,7 @@
 #include "wp_downstream.h"
 #include "wp_buffered.h"
 #include "wp_log.h"
-#include "wp_traffic.h"
+#include "wp_peer_traffic.h"
 
 #include <event2/http.h>
 
@@ -18,70 +18,90 @@
     struct event_base *base;
     Wp__DirectSettings *settings;
     const WPPlatformOps *platform;
-    char *file; /* of the settings, or NULL */
+    char *file; /* the settings file, or NULL */
     Wp__Chart *chart;
     WPLog log;
     WPDirect direct;
-    WPDownstream *front;
-    WPUpstream *back;
+    WPDownstream *downstream;
+    WPUpstream *upstream;
     WPSync *sync;
     struct evhttp *ready, *metrics;
     struct event *tick, *term, *hup;
     WPList relays;
     unsigned n_relays;
-    WPClockMonitor steady;
-    WPBuffered held;
-    int64_t traffic_us; /* when the bytes to other boxes were last logged */
-    bool leaving;       /* a planned stop has begun */
-    int64_t end_us; /* of the process, then; 0: all requests are still taken */
-    int64_t leave_us;
+    WPClockMonitor clock_monitor;
+    WPBuffered buffered;
+    int64_t traffic_logged_us; /* when the bytes to and from other boxes were
+                                  last logged; 0: not yet */
+    bool draining;             /* a planned stop has begun */
+    int64_t exit_us; /* time by which requests must have ended, set once a
+                        draining box accepts only those that it can finish by
+                        then; 0: it accepts all requests */
+    int64_t drain_start_us;
 };
 
-/* wp_relay.c: one request between caller and endpoints. */
-extern const WPDownstreamOps wp_relay_front_ops;
-extern const WPUpstreamOps wp_relay_back_ops;
+/* wp_relay.c: relays requests between callers and endpoints. These tables hold
+   its handlers for the events of both sides. */
+extern const WPDownstreamOps wp_relay_downstream_ops;
+extern const WPUpstreamOps wp_relay_upstream_ops;
 
-/* Sets the ends of all requests anew, by the present time. */
-void wp_relay_set_timers(WPDirectHost *h, WPTime now);
+/* Sets the deadline timers of all requests again by the time `now`; needed
+   after the timers of the event loop have stood still. */
+void wp_relay_reset_deadlines(WPDirectHost *h, WPTime now);
 
-/* The routes are known: requests that were held for that go on. */
-void wp_relay_enter_held(WPDirectHost *h);
+/* Admits the requests that were held until the routes were known; does nothing
+   while they are not. */
+void wp_relay_admit_held(WPDirectHost *h);
 
-/* Bytes of answers that are gathered; those that waited are read on. */
-uint64_t wp_relay_held(const WPDirectHost *h);
-void wp_relay_go_on(WPDirectHost *h);
+/* Bytes of the answers that are being gathered as a whole. */
+uint64_t wp_relay_buffered_bytes(const WPDirectHost *h);
 
-/* wp_sync.c: what the store tells, and what is written to it. */
+/* Resumes reading answers that were paused because too many bytes were
+   buffered. */
+void wp_relay_resume_reads(WPDirectHost *h);
+
+/* wp_sync.c: keeps this box's state in step with the store and the other
+   boxes. */
 WPSync *wp_sync_new(WPDirectHost *h, GError **error);
 void wp_sync_free(WPSync *s);
+
+/* To be called on each tick of the process. */
 void wp_sync_tick(WPSync *s, WPTime now);
 
-/* What this box has found out is to be told to the others now. */
-void wp_sync_tell(WPSync *s);
+/* Schedules this box's digest to the other boxes at once, because its state has
+   changed. */
+void wp_sync_schedule_digest(WPSync *s);
 
-/* The same, to the boxes of its zone, of what it sends to endpoints. */
-void wp_sync_share(WPSync *s);
+/* Schedules the updates to the other boxes of the zone on requests that this
+   box sends to endpoints. */
+void wp_sync_schedule_zone_updates(WPSync *s);
 
-/* The same, to all boxes, of requests under which endpoints have ended. */
-void wp_sync_suspects(WPSync *s);
+/* Schedules the updates to all boxes on requests during which endpoints have
+   crashed. */
+void wp_sync_schedule_suspects(WPSync *s);
 
-/* The same, of what endpoints say of themselves. */
-void wp_sync_notices(WPSync *s);
+/* Schedules the updates to all boxes on the state that endpoints report of
+   themselves, such as draining, back-off and limits. */
+void wp_sync_schedule_notices(WPSync *s);
 
-/* How old what this box knows of the list is; -1: it knows nothing. */
-int64_t wp_sync_list_age_ms(const WPSync *s, WPTime now);
+/* Age in ms of this box's copy of the store, which holds the registry; -1:
+   there is no copy yet. */
+int64_t wp_sync_registry_age_ms(const WPSync *s, WPTime now);
 
-/* Whether enough is known to serve. */
+/* Whether requests can be served: the store was read completely, or received
+   from a peer, and it has routes. */
 bool wp_sync_ready(const WPSync *s);
+
+/* Whether the store answered the last call of this box. */
 bool wp_sync_store_up(const WPSync *s);
 
-/* Whether this box has the duty to report usage. */
-bool wp_sync_reports_usage(const WPSync *s);
+/* Whether this box holds the usage reporting lease. */
+bool wp_sync_holds_report_lease(const WPSync *s);
 
-/* Bytes that went to other boxes and came from them. */
-const WPTraffic *wp_sync_traffic(const WPSync *s);
+/* Bytes sent to and received from other boxes. */
+const WPPeerTraffic *wp_sync_traffic(const WPSync *s);
 
-/* wp_direct_admin.c: whether the box is ready, and its metrics. */
+/* wp_direct_admin.c: the listeners for the readiness check and the metrics. */
 bool wp_direct_open_admin(WPDirectHost *h, GError **error);
 void wp_direct_close_admin(WPDirectHost *h);
 
--- a/io/wp_fault.c
+++ b/io/wp_fault.c
@@ -35,14 +35,14 @@
     return l->peer && g_strv_contains((const char *const *)f->peers, l->peer);
 }
 
-static void fail(WPKvDone done, void *arg)
+static void fail(WPKvResultFn done, void *arg)
 {
     WPKvResult none = { 0 };
     done(arg, &none);
 }
 
 static void faulty_range(WPKv *kv, const char *key, const char *end,
-                         WPKvDone done, void *arg)
+                         WPKvResultFn done, void *arg)
 {
     Faulty *f = (Faulty *)kv;
     if (f->fault->store)
@@ -52,7 +52,7 @@
 }
 
 static void faulty_txn(WPKv *kv, const WPKvCompare *compares, size_t n_compares,
-                       const WPKvOp *ops, size_t n_ops, WPKvDone done,
+                       const WPKvOp *ops, size_t n_ops, WPKvResultFn done,
                        void *arg)
 {
     Faulty *f = (Faulty *)kv;
@@ -63,11 +63,11 @@
 }
 
 static void faulty_watch(WPKv *kv, const char *key, uint64_t from, bool look,
-                         WPKvEvent event, void *arg)
+                         WPKvWatchFn event, void *arg)
 {
     Faulty *f = (Faulty *)kv;
     if (f->fault->store)
-        event(arg, WP_KV_BROKEN, NULL);
+        event(arg, WP_KV_WATCH_LOST, NULL);
     else
         f->real->ops->watch(f->real, key, from, look, event, arg);
 }
--- a/io/wp_host.c
+++ b/io/wp_host.c
@@ -1,4 +1,4 @@
-/* The frame that all daemons share. */
+/* The frame that all daemons share: event loop, links and planned stop. */
 #include "wp_host_int.h"
 #include "wp_pb.h"
 
@@ -6,30 +6,31 @@
 #include <signal.h>
 #include <stdlib.h>
 
-/* An agent hears little of an entry while it streams to it, and has less to
-   lose by a dead one: it pings and waits this many times longer. */
-#define AGENT_PATIENCE 10
+/* Factor by which an agent's ping interval and its time-out for a dead link are
+   longer. An agent receives little from an entry while it streams an answer to
+   it, and loses less by an entry that is dead. */
+#define AGENT_TIMEOUT_FACTOR 10
 
 enum { TICK_MS = 20, HTTP_TIMEOUT_MS = 2000 };
 
 WPTime wp_host_now(const WPHost *h)
 {
     WPTime now = wp_clock_now(h->settings->clock_skew_ms);
-    now.wall_ms = wp_clock_monitor_wall_ms(&h->steady, now);
+    now.wall_ms = wp_clock_monitor_wall_ms(&h->clock_monitor, now);
     return now;
 }
 
-void wp_host_pump(WPHost *h)
+void wp_host_run_actions(WPHost *h)
 {
     WPAction *a;
-    if (h->pumping)
+    if (h->running_actions)
         return;
-    h->pumping = true;
+    h->running_actions = true;
     while ((a = wp_node_next_action(h->node))) {
-        wp_host_act(h, a);
+        wp_host_run_action(h, a);
         wp_action_free(a);
     }
-    h->pumping = false;
+    h->running_actions = false;
 }
 
 static void on_frame(void *arg, WPLink *l, Wp__Frame *f)
@@ -39,7 +40,7 @@
     bool done = wp_node_on_frame(h->node, now, l->addr ? l->addr : "", f);
     if (f->has_revision && l->addr)
         wp_node_on_peer_revision(h->node, now, l->addr, f->revision);
-    wp_host_pump(h);
+    wp_host_run_actions(h);
     if (done)
         return;
     if (f->body_case == WP__FRAME__BODY_PING) {
@@ -51,8 +52,8 @@
         wp_link_send(l, &out);
     }
     if (h->role)
-        h->ops->frame(h->role, l, f);
-    wp_host_pump(h);
+        h->ops->on_frame(h->role, l, f);
+    wp_host_run_actions(h);
 }
 
 static void on_link_up(void *arg, WPLink *l)
@@ -65,12 +66,13 @@
 {
     WPHost *h = arg;
     if (h->role)
-        h->ops->link_down(h->role, l);
+        h->ops->on_link_down(h->role, l);
 }
 
-/* The revision, the clock and the load ride on every frame but the many that
-   carry an answer's pieces. */
-static void on_stamp(void *arg, Wp__Frame *f)
+/* Adds the configuration revision, the hybrid logical clock and the load to
+   each outgoing frame, except to chunk and window frames, which are too many.
+ */
+static void on_before_send(void *arg, Wp__Frame *f)
 {
     WPHost *h = arg;
     if (f->body_case == WP__FRAME__BODY_CHUNK ||
@@ -86,7 +88,7 @@
     }
 }
 
-static void on_bad(void *arg, WPLink *l)
+static void on_bad_frame(void *arg, WPLink *l)
 {
     WPHost *h = arg;
     wp_count(wp_node_counters(h->node), WP_C_BAD_FRAMES);
@@ -104,12 +106,12 @@
     .frame = on_frame,
     .up = on_link_up,
     .down = on_link_down,
-    .before_send = on_stamp,
-    .bad_frame = on_bad,
+    .before_send = on_before_send,
+    .bad_frame = on_bad_frame,
     .blocked = on_blocked,
 };
 
-static void on_bills(void *arg, const WPKvResult *r)
+static void on_bills_written(void *arg, const WPKvResult *r)
 {
     WPHost *h = arg;
     WPBills *b = h->ops->bills(h->role);
@@ -131,7 +133,7 @@
 static void write_bills(WPHost *h, WPTime now)
 {
     WPBills *b = h->ops->bills(h->role);
-    const WPBillBatch *batch = h->kv ? wp_bills_due(b, now, h->leaving) : NULL;
+    const WPBillBatch *batch = h->kv ? wp_bills_due(b, now, h->draining) : NULL;
     if (!batch)
         return;
     WPKvCompare absent = { batch->key, 0 };
@@ -139,15 +141,15 @@
                    { (const char *)batch->value->data, batch->value->len },
                    false };
     wp_count(wp_node_counters(h->node), WP_C_STORE_WRITES);
-    h->kv->ops->txn(h->kv, &absent, 1, &put, 1, on_bills, h);
+    h->kv->ops->txn(h->kv, &absent, 1, &put, 1, on_bills_written, h);
 }
 
-/* The first part of a planned stop: the health answer has turned, but the
-   balancer may not have seen it yet, so new requests are still served. */
+/* The first part of a planned stop: the health check fails already, but the
+   load balancer may not have noticed yet, so new requests are still served. */
 bool wp_host_lame_duck(const WPHost *h)
 {
     int64_t span_us = (int64_t)h->settings->lame_duck_ms * WP_US_PER_MS;
-    return h->leaving && wp_host_now(h).mono_us - h->leave_us < span_us;
+    return h->draining && wp_host_now(h).mono_us - h->drain_start_us < span_us;
 }
 
 static void check_stop(WPHost *h, WPTime now)
@@ -155,7 +157,7 @@
     int64_t limit_us = (int64_t)h->settings->drain_s * WP_US_PER_S;
     if (wp_host_lame_duck(h))
         return;
-    bool late = now.mono_us - h->leave_us > limit_us;
+    bool late = now.mono_us - h->drain_start_us > limit_us;
     bool done = h->ops->idle(h->role) &&
                 (!h->kv || !wp_bills_pending(h->ops->bills(h->role)));
     if (!done && !late)
@@ -175,20 +177,20 @@
     WPHost *h = arg;
     (void)fd;
     (void)what;
-    wp_clock_watch(&h->log, &h->steady,
+    wp_clock_check(&h->log, &h->clock_monitor,
                    wp_clock_now(h->settings->clock_skew_ms));
     WPTime now = wp_host_now(h);
     wp_node_tick(h->node, now);
-    wp_host_pump(h);
-    int64_t patience = is_agent(h) ? AGENT_PATIENCE : 1;
+    wp_host_run_actions(h);
+    int64_t factor = is_agent(h) ? AGENT_TIMEOUT_FACTOR : 1;
     wp_hub_tick(h->hub, now.mono_us,
-                patience * h->settings->heartbeat_ms * WP_US_PER_MS,
-                patience * h->settings->dead_ms * WP_US_PER_MS);
+                factor * h->settings->heartbeat_ms * WP_US_PER_MS,
+                factor * h->settings->dead_ms * WP_US_PER_MS);
     h->ops->tick(h->role, now);
     write_bills(h, now);
-    if (h->leaving && wp_guard_is_disabled(h->settings, WP_GUARD_DRAIN))
+    if (h->draining && wp_guard_is_disabled(h->settings, WP_GUARD_DRAIN))
         event_base_loopbreak(h->base);
-    if (h->leaving)
+    if (h->draining)
         check_stop(h, now);
 }
 
@@ -197,13 +199,13 @@
     WPHost *h = arg;
     (void)fd;
     (void)what;
-    if (h->leaving)
+    if (h->draining)
         return;
-    h->leaving = true;
-    h->leave_us = wp_host_now(h).mono_us;
+    h->draining = true;
+    h->drain_start_us = wp_host_now(h).mono_us;
     wp_log(&h->log, WP_INFO, "leaving", NULL);
-    h->ops->leave(h->role, wp_host_now(h));
-    wp_host_pump(h);
+    h->ops->drain(h->role, wp_host_now(h));
+    wp_host_run_actions(h);
 }
 
 static bool open_platform(WPHost *h, GError **error)
@@ -339,7 +341,7 @@
     return h->seed;
 }
 
-bool wp_host_leaving(const WPHost *h)
+bool wp_host_is_draining(const WPHost *h)
 {
-    return h->leaving;
+    return h->draining;
 }
--- a/io/wp_host_admin.c
+++ b/io/wp_host_admin.c
@@ -1,23 +1,25 @@
-/* The admin port: health, metrics, status, time line, faults of scenarios. */
+/* The admin port: health, metrics, status, timeline of events, and the faults
+ * that scenarios inject. */
 #include "wp_host_int.h"
 #include "wp_pb.h"
 
-enum { TIMELINE_MOST = 4096 };
+enum { TIMELINE_MAX_EVENTS = 4096 };
 
 bool wp_host_health(WPHost *h, struct evhttp_request *r, const char *path)
 {
     if (!strcmp(path, "/healthz")) {
-        /* What the balancer asks: turned first at a planned stop, and not yet
-           good while a box that has just started could only refuse. */
+        /* The load balancer's check. It fails as the first step of a planned
+           stop, and while a box that has just started could only refuse
+           requests. */
         bool starting = !wp_node_ready(h->node);
-        wp_http_reply_text(r, h->leaving || starting ? 503 : 200, "text/plain",
-                           wp_str(h->leaving ? "leaving\n"
-                                  : starting ? "starting\n"
-                                             : "ok\n"));
+        wp_http_reply_text(r, h->draining || starting ? 503 : 200, "text/plain",
+                           wp_str(h->draining ? "leaving\n"
+                                  : starting  ? "starting\n"
+                                              : "ok\n"));
         return true;
     }
     if (!strcmp(path, "/readyz")) {
-        bool ready = wp_node_ready(h->node) && !h->leaving;
+        bool ready = wp_node_ready(h->node) && !h->draining;
         wp_http_reply_text(r, ready ? 200 : 503, "text/plain",
                            wp_str(ready ? "ready\n" : "not ready\n"));
         return true;
@@ -43,7 +45,7 @@
         h->settings->zone, "incarnation", (json_int_t)self->incarnation,
         "revision", (json_int_t)wp_config_revision(wp_node_config(h->node)),
         "ready", wp_node_ready(h->node), "store_up", wp_node_store_up(h->node),
-        "leaving", h->leaving, "age_ms",
+        "leaving", h->draining, "age_ms",
         (json_int_t)(age == INT64_MAX ? -1 : age), "boxes",
         (int)wp_members_live_count(wp_node_members(h->node)), "bills_pending",
         (int)wp_bills_pending(h->ops->bills(h->role)));
@@ -57,8 +59,9 @@
     wp_link_close(l);
 }
 
-/* A connection that lost bytes cannot go on: with each change of the faults
-   those that are not cut start anew. */
+/* Sets the faults of a scenario (wp_fault.h). A connection that has lost bytes
+   cannot continue, so all links are closed, to be opened again, when the cut of
+   links ends. */
 static void set_fault(WPHost *h, struct evhttp_request *r)
 {
     json_t *j = wp_http_body_json(r);
@@ -93,15 +96,16 @@
         wp_http_reply_json(r, 200, status_json(h));
     } else if (!strcmp(path, "/v1/timeline")) {
         g_autofree char *request = wp_http_query_param(r, "request");
-        wp_http_reply_json(
-            r, 200,
-            wp_events_json(wp_node_events(h->node), request, TIMELINE_MOST));
+        wp_http_reply_json(r, 200,
+                           wp_events_json(wp_node_events(h->node), request,
+                                          TIMELINE_MAX_EVENTS));
     } else if (!strcmp(path, "/v1/boxes")) {
         json_t *list = json_array();
         wp_members_each(wp_node_members(h->node), add_member, list);
         wp_http_reply_json(r, 200, list);
     } else if (!h->ops->admin || !h->ops->admin(h->role, r, path)) {
-        wp_http_reply_json(r, 404, json_pack("{s:s}", "error", "no such page"));
+        wp_http_reply_json(r, 404,
+                           json_pack("{s:s}", "error", "no such admin path"));
     }
 }
 
--- a/io/wp_host_int.h
+++ b/io/wp_host_int.h
@@ -1,4 +1,5 @@
-/* The insides of WPHost, for its parts: loop and stop, platform, admin. */
+/* Internals of WPHost, shared by its source files: event loop and stop,
+ * platform, admin port. */
 #ifndef WP_HOST_INT_H
 #define WP_HOST_INT_H
 
@@ -21,17 +22,17 @@
     const WPRoleOps *ops;
     void *role;
     uint32_t seed;
-    Wp__Load load; /* what rides on frames */
+    Wp__Load load; /* the report that goes with outgoing frames */
     WPFault fault;
-    WPClockMonitor steady;
-    bool leaving, pumping, boxes_asked, ratings_asked;
-    int64_t leave_us;
+    WPClockMonitor clock_monitor;
+    bool draining, running_actions, boxes_requested, ratings_requested;
+    int64_t drain_start_us;
 };
 
-/* wp_host_platform.c: does what one of the node's actions says. */
-void wp_host_act(WPHost *h, const WPAction *a);
+/* wp_host_platform.c: carries out one of the node's actions. */
+void wp_host_run_action(WPHost *h, const WPAction *a);
 
-/* wp_host_admin.c */
+/* wp_host_admin.c: opens the admin port. */
 bool wp_host_open_admin(WPHost *h, GError **error);
 
 #endif
--- a/io/wp_host_platform.c
+++ b/io/wp_host_platform.c
@@ -1,55 +1,56 @@
-/* What the node asks of the platform: the store, the list of boxes, the
- * ratings; and what comes back. */
+/* Carries out the node's actions: calls the platform's store, list of boxes and
+ * rating service, and passes their answers to the node. */
 #include "wp_host_int.h"
 #include "wp_pb.h"
 
-typedef struct Ask {
+/* A read from the store in progress. */
+typedef struct StoreRead {
     WPHost *h;
-    int64_t asked_us;
-} Ask;
+    int64_t sent_us;
+} StoreRead;
 
-static Ask *new_ask(WPHost *h)
+static StoreRead *new_store_read(WPHost *h)
 {
-    Ask *a = g_new0(Ask, 1);
+    StoreRead *a = g_new0(StoreRead, 1);
     a->h = h;
-    a->asked_us = wp_host_now(h).mono_us;
+    a->sent_us = wp_host_now(h).mono_us;
     return a;
 }
 
 static void on_head(void *arg, const WPKvResult *r)
 {
-    Ask *a = arg;
+    StoreRead *a = arg;
     WPHost *h = a->h;
     const WPKvItem *i = r->n_items ? r->items : NULL;
-    wp_node_on_head(h->node, wp_host_now(h), a->asked_us, r->ok,
+    wp_node_on_head(h->node, wp_host_now(h), a->sent_us, r->ok,
                     i ? i->mod_revision : 0,
                     i ? (const uint8_t *)i->value.p : NULL, i ? i->value.n : 0);
     g_free(a);
-    wp_host_pump(h);
+    wp_host_run_actions(h);
 }
 
-static void on_all(void *arg, const WPKvResult *r)
+static void on_snapshot(void *arg, const WPKvResult *r)
 {
-    Ask *a = arg;
+    StoreRead *a = arg;
     WPHost *h = a->h;
     Wp__Snapshot *s = wp_kv_snapshot(r);
-    wp_node_on_snapshot(h->node, wp_host_now(h), a->asked_us, r->ok, s);
+    wp_node_on_snapshot(h->node, wp_host_now(h), a->sent_us, r->ok, s);
     wp_pb_free(s);
     g_free(a);
-    wp_host_pump(h);
+    wp_host_run_actions(h);
 }
 
-static void on_watch(void *arg, WPKvWatched what, const WPKvItem *item)
+static void on_watch(void *arg, WPKvWatchEvent what, const WPKvItem *item)
 {
     WPHost *h = arg;
-    if (what == WP_KV_QUIET)
+    if (what == WP_KV_UNCHANGED)
         return;
     if (what == WP_KV_CHANGED)
         wp_node_on_watch_event(h->node, wp_host_now(h), item->mod_revision,
                                (const uint8_t *)item->value.p, item->value.n);
     else
         wp_node_on_watch_end(h->node, wp_host_now(h));
-    wp_host_pump(h);
+    wp_host_run_actions(h);
 }
 
 static void on_boxes(void *arg, int status, WPStr body)
@@ -60,7 +61,7 @@
     size_t n = json_array_size(list), i;
     g_autofree WPBox *boxes = g_new0(WPBox, n + 1);
     json_t *one;
-    h->boxes_asked = false;
+    h->boxes_requested = false;
     json_array_foreach (list, i, one) {
         const char *state = json_string_value(json_object_get(one, "state"));
         boxes[i].id = json_string_value(json_object_get(one, "id"));
@@ -69,12 +70,12 @@
             (uint32_t)json_integer_value(json_object_get(one, "port"));
         boxes[i].draining = state && !strcmp(state, "leaving");
         if (!boxes[i].id || !boxes[i].addr)
-            n = 0; /* not a list that can be trusted */
+            n = 0; /* an incomplete record: the list is ignored */
     }
     if (json_is_array(list) && (n || !json_array_size(list)))
         wp_node_on_box_list(h->node, wp_host_now(h), boxes, n);
     json_decref(j);
-    wp_host_pump(h);
+    wp_host_run_actions(h);
 }
 
 static void on_ratings(void *arg, int status, WPStr body)
@@ -83,15 +84,15 @@
     json_t *j = status == 200 ? json_loadb(body.p, body.n, 0, NULL) : NULL;
     json_t *list = json_object_get(j, "sums");
     size_t n = json_array_size(list), i;
-    g_autofree Wp__RatingSum *room = g_new0(Wp__RatingSum, n + 1);
+    g_autofree Wp__RatingSum *storage = g_new0(Wp__RatingSum, n + 1);
     g_autofree Wp__RatingSum **sums = g_new0(Wp__RatingSum *, n + 1);
     Wp__Ratings r = WP__RATINGS__INIT;
     json_t *one;
-    h->ratings_asked = false;
+    h->ratings_requested = false;
     r.seq = (uint64_t)json_integer_value(json_object_get(j, "seq"));
     r.sums = sums;
     json_array_foreach (list, i, one) {
-        Wp__RatingSum *s = &room[i];
+        Wp__RatingSum *s = &storage[i];
         const char *kind = json_string_value(json_object_get(one, "kind"));
         const char *v = json_string_value(json_object_get(one, "version"));
         wp__rating_sum__init(s);
@@ -106,7 +107,7 @@
     if (j)
         wp_node_on_ratings(h->node, wp_host_now(h), &r);
     json_decref(j);
-    wp_host_pump(h);
+    wp_host_run_actions(h);
 }
 
 static void log_config(WPHost *h)
@@ -122,7 +123,7 @@
         h->ops->refresh(h->role, wp_host_now(h));
 }
 
-void wp_host_act(WPHost *h, const WPAction *a)
+void wp_host_run_action(WPHost *h, const WPAction *a)
 {
     switch (a->kind) {
     case WP_ACT_SEND: {
@@ -132,11 +133,11 @@
         break;
     }
     case WP_ACT_READ_HEAD:
-        h->kv->ops->range(h->kv, WP_KV_HEAD, NULL, on_head, new_ask(h));
+        h->kv->ops->range(h->kv, WP_KV_HEAD, NULL, on_head, new_store_read(h));
         break;
     case WP_ACT_READ_ALL:
-        h->kv->ops->range(h->kv, WP_KV_CONFIG, WP_KV_CONFIG_END, on_all,
-                          new_ask(h));
+        h->kv->ops->range(h->kv, WP_KV_CONFIG, WP_KV_CONFIG_END, on_snapshot,
+                          new_store_read(h));
         break;
     case WP_ACT_WATCH:
         h->kv->ops->watch(h->kv, WP_KV_HEAD,
@@ -147,14 +148,14 @@
         h->kv->ops->unwatch(h->kv);
         break;
     case WP_ACT_READ_BOXES:
-        if (!h->boxes_asked)
+        if (!h->boxes_requested)
             wp_http_call(h->boxes, "/v1/boxes", NULL, on_boxes, NULL, h);
-        h->boxes_asked = true;
+        h->boxes_requested = true;
         break;
     case WP_ACT_READ_RATINGS:
-        if (!h->ratings_asked)
+        if (!h->ratings_requested)
             wp_http_call(h->ratings, "/v1/sums", NULL, on_ratings, NULL, h);
-        h->ratings_asked = true;
+        h->ratings_requested = true;
         break;
     case WP_ACT_CONFIG:
         log_config(h);
--- a/io/wp_kv.c
+++ b/io/wp_kv.c
@@ -1,4 +1,4 @@
-/* The configuration as the key-value service holds it. */
+/* Reads the configuration from the key-value store. */
 #include "wp_kv.h"
 #include "wp_pb.h"
 
--- a/io/wp_kv.h
+++ b/io/wp_kv.h
@@ -1,5 +1,5 @@
-/* The platform's key-value service, behind a small table of functions so that
- * another client can take its place. */
+/* Interface of a client of the platform's key-value store, so that one client
+ * can be replaced by another. */
 #ifndef WP_KV_H
 #define WP_KV_H
 
@@ -16,15 +16,17 @@
 typedef struct WPKvItem {
     WPStr key, value;
     uint64_t mod_revision;
-    bool removed; /* of a watch's event: the key is gone; no value */
+    bool removed; /* in a watch event: the key was deleted; no value */
 } WPKvItem;
 
-/* One condition of a transaction: the key's revision; 0 means absent. */
+/* One condition of a transaction: the key was last modified at this revision;
+   0: the key does not exist. */
 typedef struct WPKvCompare {
     const char *key;
     uint64_t mod_revision;
 } WPKvCompare;
 
+/* One change of a transaction: writes the value, or deletes the key. */
 typedef struct WPKvOp {
     const char *key;
     WPStr value;
@@ -32,41 +34,48 @@
 } WPKvOp;
 
 typedef struct WPKvResult {
-    bool ok;        /* the service answered */
-    bool succeeded; /* of a transaction */
-    uint64_t revision;
+    bool ok;           /* the store answered */
+    bool succeeded;    /* of a transaction: all conditions held */
+    uint64_t revision; /* of the store */
     const WPKvItem *items;
     size_t n_items;
 } WPKvResult;
 
-typedef void (*WPKvDone)(void *arg, const WPKvResult *r);
+typedef void (*WPKvResultFn)(void *arg, const WPKvResult *r);
 
-typedef enum WPKvWatched {
-    WP_KV_CHANGED,  /* the item */
-    WP_KV_QUIET,    /* the service has answered: nothing has changed */
-    WP_KV_BROKEN,   /* the watch has ended */
-    WP_KV_FORGOTTEN /* it has, and changes may have been missed: all is to be
-                       read again */
-} WPKvWatched;
+typedef enum WPKvWatchEvent {
+    WP_KV_CHANGED,    /* the item was written or deleted */
+    WP_KV_UNCHANGED,  /* the store has answered: nothing has changed */
+    WP_KV_WATCH_LOST, /* the watch has ended */
+    WP_KV_COMPACTED   /* the watch has ended, and changes may have been missed,
+                         as the store no longer has them: everything must be
+                         read again */
+} WPKvWatchEvent;
 
-/* What a watch tells; `item` is NULL but for a change. */
-typedef void (*WPKvEvent)(void *arg, WPKvWatched what, const WPKvItem *item);
+/* Reports an event of a watch; `item` is NULL except for WP_KV_CHANGED. */
+typedef void (*WPKvWatchFn)(void *arg, WPKvWatchEvent what,
+                            const WPKvItem *item);
 
 typedef struct WPKv WPKv;
 
 typedef struct WPKvOps {
-    /* Keys from `key` up to, without, `end`; the one key when it is NULL. */
-    void (*range)(WPKv *kv, const char *key, const char *end, WPKvDone done,
+    /* Reads the keys from `key` up to but not including `end`, or `key` alone
+       if `end` is NULL. The client of the platform's own store ignores `end`
+       and reads all keys with the prefix `key`. The result is valid during the
+       call of `done`. */
+    void (*range)(WPKv *kv, const char *key, const char *end, WPKvResultFn done,
                   void *arg);
-    /* When a condition fails, the items are the present ones of the keys
-       compared. */
+    /* Makes the changes if all conditions hold. If one fails, the result has
+       the present items of the keys compared. */
     void (*txn)(WPKv *kv, const WPKvCompare *compares, size_t n_compares,
-                const WPKvOp *ops, size_t n_ops, WPKvDone done, void *arg);
-    /* Replaces the watch under way, which is then no longer trusted: the
-       new one uses another connection. With `look` the service first answers
-       at once, whether there is news or not, where it can. */
-    void (*watch)(WPKv *kv, const char *key, uint64_t from, bool look,
-                  WPKvEvent event, void *arg);
+                const WPKvOp *ops, size_t n_ops, WPKvResultFn done, void *arg);
+    /* Watches `key` (with the platform's own store: all keys with this prefix)
+       for changes from revision `from` on. Replaces the watch in progress: as
+       its connection is no longer trusted, the new one uses another. With
+       `immediate`, the store sends a first answer at once, if it can, whether
+       or not there are changes. */
+    void (*watch)(WPKv *kv, const char *key, uint64_t from, bool immediate,
+                  WPKvWatchFn event, void *arg);
     void (*unwatch)(WPKv *kv);
     void (*free)(WPKv *kv);
 } WPKvOps;
@@ -75,12 +84,13 @@
     const WPKvOps *ops;
 };
 
-/* The objects and the head's revision out of a range over WP_KV_CONFIG; free
-   with wp_pb_free(). */
+/* Converts the result of a range over WP_KV_CONFIG: the configuration's
+   objects, and as its revision that of WP_KV_HEAD. Free with wp_pb_free(). */
 Wp__Snapshot *wp_kv_snapshot(const WPKvResult *r);
 
-/* A client of etcd's v3 JSON gateway at one of `targets` (host:port), tried
-   in turn. NULL when a target is malformed. */
+/* Creates a client of etcd's v3 JSON gateway. It uses one of `targets`
+   (host:port) and goes on to the next when a call fails. Returns NULL if a
+   target is malformed. */
 WPKv *wp_kv_etcd(struct event_base *base, char **targets, size_t n);
 
 #endif
--- a/io/wp_kv_etcd.c
+++ b/io/wp_kv_etcd.c
@@ -1,5 +1,5 @@
-/* The key-value service by etcd's published v3 gateway: POST with JSON, keys
- * and values in base64, numbers as strings. */
+/* Client of etcd's v3 gRPC gateway: POST requests with JSON, keys and values in
+ * base64, numbers as strings. */
 #include "wp_http.h"
 #include "wp_kv.h"
 
@@ -13,33 +13,33 @@
     WPKv kv; /* first */
     struct event_base *base;
     char **targets;
-    size_t n_targets, at;
+    size_t n_targets, current;
     WPHttp **clients;
-    /* The one watch. */
+    /* The watch; there is one at a time. */
     struct evhttp_connection *watch_con;
-    WPKvEvent event;
+    WPKvWatchFn event;
     void *event_arg;
-    GString *partial; /* a line that has not wholly come */
+    GString *partial; /* an incomplete line */
 } Etcd;
 
 typedef struct Call {
     Etcd *e;
-    WPKvDone done;
+    WPKvResultFn done;
     void *arg;
 } Call;
 
-static json_t *b64(const char *p, size_t n)
+static json_t *to_b64(const char *p, size_t n)
 {
     g_autofree char *text = g_base64_encode((const guchar *)p, n);
     return json_string(text);
 }
 
-static json_t *b64z(const char *s)
+static json_t *str_to_b64(const char *s)
 {
-    return b64(s, strlen(s));
+    return to_b64(s, strlen(s));
 }
 
-/* Numbers come as strings; some servers give plain ones. */
+/* Numbers come as strings; some servers send plain numbers. */
 static uint64_t number(const json_t *j)
 {
     if (json_is_string(j))
@@ -47,7 +47,7 @@
     return (uint64_t)json_integer_value(j);
 }
 
-static WPStr unb64(const json_t *j)
+static WPStr from_b64(const json_t *j)
 {
     gsize n = 0;
     const char *s = json_string_value(j);
@@ -61,8 +61,8 @@
     json_t *kv;
     json_array_foreach (kvs, i, kv) {
         WPKvItem item = {
-            .key = unb64(json_object_get(kv, "key")),
-            .value = unb64(json_object_get(kv, "value")),
+            .key = from_b64(json_object_get(kv, "key")),
+            .value = from_b64(json_object_get(kv, "value")),
             .mod_revision = number(json_object_get(kv, "mod_revision")),
         };
         g_array_append_val(out, item);
@@ -101,7 +101,7 @@
                       json_object_get(json_object_get(part, "response_range"),
                                       "kvs"));
     } else {
-        c->e->at = (c->e->at + 1) % c->e->n_targets;
+        c->e->current = (c->e->current + 1) % c->e->n_targets;
     }
     r.items = (const WPKvItem *)(void *)items->data;
     r.n_items = items->len;
@@ -110,7 +110,7 @@
     g_free(c);
 }
 
-static void post(Etcd *e, const char *path, json_t *body, WPKvDone done,
+static void post(Etcd *e, const char *path, json_t *body, WPKvResultFn done,
                  void *arg)
 {
     Call *c = g_new0(Call, 1);
@@ -118,20 +118,20 @@
     c->e = e;
     c->done = done;
     c->arg = arg;
-    if (!e->clients[e->at])
-        e->clients[e->at] =
-            wp_http_new(e->base, e->targets[e->at], KV_TIMEOUT_MS);
-    wp_http_call(e->clients[e->at], path, text, on_answer, g_free, c);
+    if (!e->clients[e->current])
+        e->clients[e->current] =
+            wp_http_new(e->base, e->targets[e->current], KV_TIMEOUT_MS);
+    wp_http_call(e->clients[e->current], path, text, on_answer, g_free, c);
     free(text);
     json_decref(body);
 }
 
 static void etcd_range(WPKv *kv, const char *key, const char *end,
-                       WPKvDone done, void *arg)
+                       WPKvResultFn done, void *arg)
 {
-    json_t *body = json_pack("{s:o}", "key", b64z(key));
+    json_t *body = json_pack("{s:o}", "key", str_to_b64(key));
     if (end)
-        json_object_set_new(body, "range_end", b64z(end));
+        json_object_set_new(body, "range_end", str_to_b64(end));
     post((Etcd *)kv, "/v3/kv/range", body, done, arg);
 }
 
@@ -139,28 +139,30 @@
 {
     g_autofree char *rev =
         g_strdup_printf("%lu", (unsigned long)c->mod_revision);
-    return json_pack("{s:o,s:s,s:s,s:s}", "key", b64z(c->key), "target", "MOD",
-                     "result", "EQUAL", "mod_revision", rev);
+    return json_pack("{s:o,s:s,s:s,s:s}", "key", str_to_b64(c->key), "target",
+                     "MOD", "result", "EQUAL", "mod_revision", rev);
 }
 
 static json_t *op_json(const WPKvOp *op)
 {
     if (op->remove)
         return json_pack("{s:{s:o}}", "request_delete_range", "key",
-                         b64z(op->key));
-    return json_pack("{s:{s:o,s:o}}", "request_put", "key", b64z(op->key),
-                     "value", b64(op->value.p, op->value.n));
+                         str_to_b64(op->key));
+    return json_pack("{s:{s:o,s:o}}", "request_put", "key", str_to_b64(op->key),
+                     "value", to_b64(op->value.p, op->value.n));
 }
 
 static void etcd_txn(WPKv *kv, const WPKvCompare *compares, size_t n_compares,
-                     const WPKvOp *ops, size_t n_ops, WPKvDone done, void *arg)
+                     const WPKvOp *ops, size_t n_ops, WPKvResultFn done,
+                     void *arg)
 {
     json_t *compare = json_array(), *success = json_array();
     json_t *failure = json_array();
     for (size_t i = 0; i < n_compares; i++) {
         json_array_append_new(compare, compare_json(&compares[i]));
-        json_array_append_new(failure, json_pack("{s:{s:o}}", "request_range",
-                                                 "key", b64z(compares[i].key)));
+        json_array_append_new(failure,
+                              json_pack("{s:{s:o}}", "request_range", "key",
+                                        str_to_b64(compares[i].key)));
     }
     for (size_t i = 0; i < n_ops; i++)
         json_array_append_new(success, op_json(&ops[i]));
@@ -172,10 +174,10 @@
 
 static void end_watch(Etcd *e)
 {
-    WPKvEvent event = e->event;
+    WPKvWatchFn event = e->event;
     e->event = NULL;
     if (event)
-        event(e->event_arg, WP_KV_BROKEN, NULL);
+        event(e->event_arg, WP_KV_WATCH_LOST, NULL);
 }
 
 static void on_watch_line(Etcd *e, WPStr line)
@@ -227,17 +229,18 @@
     e->watch_con = NULL;
 }
 
-/* The gateway answers a new watch at once in any case. */
-static void etcd_watch(WPKv *kv, const char *key, uint64_t from, bool look,
-                       WPKvEvent event, void *arg)
+/* `immediate` is not needed: the gateway answers a new watch at once in any
+   case. */
+static void etcd_watch(WPKv *kv, const char *key, uint64_t from, bool immediate,
+                       WPKvWatchFn event, void *arg)
 {
-    (void)look;
+    (void)immediate;
     Etcd *e = (Etcd *)kv;
     g_autofree char *host = NULL;
     g_autofree char *rev = g_strdup_printf("%lu", (unsigned long)from);
     uint16_t port;
     etcd_unwatch(kv);
-    wp_http_parse_target(e->targets[e->at], &host, &port);
+    wp_http_parse_target(e->targets[e->current], &host, &port);
     e->event = event;
     e->event_arg = arg;
     g_string_truncate(e->partial, 0);
@@ -246,7 +249,7 @@
     evhttp_request_set_chunked_cb(r, on_watch_chunk);
     evhttp_add_header(evhttp_request_get_output_headers(r), "Host", host);
     json_t *body = json_pack("{s:{s:o,s:s}}", "create_request", "key",
-                             b64z(key), "start_revision", rev);
+                             str_to_b64(key), "start_revision", rev);
     char *text = json_dumps(body, JSON_COMPACT);
     evbuffer_add(evhttp_request_get_output_buffer(r), text, strlen(text));
     free(text);
--- a/io/wp_link.c
+++ b/io/wp_link.c
@@ -25,7 +25,7 @@
     uint64_t next_id;
     /* the link whose frames are being handled; NULL once it is closed */
     WPLink *reading;
-    WPTraffic traffic;
+    WPPeerTraffic traffic;
 };
 
 static void on_read(struct bufferevent *bev, void *arg);
@@ -158,8 +158,8 @@
         return false;
     }
     evbuffer_drain(in, size);
-    wp_traffic_add(&l->hub->traffic, f, is_in_zone(l), WP_TRAFFIC_RECEIVED,
-                   size + LENGTH_BYTES);
+    wp_peer_traffic_add(&l->hub->traffic, f, is_in_zone(l),
+                        WP_PEER_TRAFFIC_RECEIVED, size + LENGTH_BYTES);
     dispatch(l, f);
     wp__frame__free_unpacked(f, NULL);
     return true;
@@ -319,13 +319,13 @@
     v.iov_len = size + LENGTH_BYTES;
     evbuffer_commit_space(out, &v, 1);
     l->queued_bytes += v.iov_len;
-    wp_traffic_add(&l->hub->traffic, f, is_in_zone(l), WP_TRAFFIC_SENT,
-                   v.iov_len);
+    wp_peer_traffic_add(&l->hub->traffic, f, is_in_zone(l),
+                        WP_PEER_TRAFFIC_SENT, v.iov_len);
     if (l->connected && is_latency_critical(f))
         flush_now(l);
 }
 
-const WPTraffic *wp_hub_traffic(const WPHub *h)
+const WPPeerTraffic *wp_hub_traffic(const WPHub *h)
 {
     return &h->traffic;
 }
--- a/io/wp_link.h
+++ b/io/wp_link.h
@@ -5,7 +5,7 @@
 
 #include "wire.pb-c.h"
 #include "wp_base.h"
-#include "wp_traffic.h"
+#include "wp_peer_traffic.h"
 
 #include <event2/event.h>
 
@@ -67,7 +67,7 @@
 
 /* Returns the bytes sent and received on all links. Frames sent with
    wp_link_send_serialized() are not counted. */
-const WPTraffic *wp_hub_traffic(const WPHub *h);
+const WPPeerTraffic *wp_hub_traffic(const WPHub *h);
 
 /* Returns the link to the peer that listens on `addr` (IP:PORT), connecting
    if there is none. NULL if the address is malformed. */
--- a/io/wp_log.c
+++ b/io/wp_log.c
@@ -7,8 +7,8 @@
 #include <unistd.h>
 
 enum {
-    PENDING_MOST = 256 << 10, /* bytes that wait for the reader */
-    BURST_S = 2               /* of the rate may be written at once */
+    PENDING_MAX = 256 << 10, /* bytes buffered for the reader of the output */
+    BURST_S = 2              /* size of a burst, in seconds of the rate */
 };
 
 static const char *const level_names[] = { "debug", "info", "warn", "error" };
@@ -18,15 +18,15 @@
 {
     memset(l, 0, sizeof(*l));
     l->box = box;
-    l->least = WP_INFO;
+    l->min_level = WP_INFO;
     for (size_t i = 0; i < WP_COUNT(level_names); i++)
         if (!strcmp(level_names[i], level))
-            l->least = (WPLevel)i;
+            l->min_level = (WPLevel)i;
     l->json = !strcmp(format, "json");
     l->fd = STDOUT_FILENO;
 }
 
-void wp_log_gather(WPLog *l, uint32_t bytes_per_s)
+void wp_log_enable_buffering(WPLog *l, uint32_t bytes_per_s)
 {
     int flags = fcntl(l->fd, F_GETFL);
     if (flags >= 0)
@@ -42,7 +42,7 @@
     while (l->pending->len) {
         ssize_t n = write(l->fd, l->pending->str, l->pending->len);
         if (n <= 0)
-            return; /* the reader is behind; nobody is left to tell */
+            return; /* the reader is behind, or a fault that cannot be logged */
         g_string_erase(l->pending, 0, n);
     }
 }
@@ -52,15 +52,15 @@
     if (!l->pending)
         return;
     int64_t now_us = wp_clock_now(0).mono_us;
-    double most = (double)l->bytes_per_s * BURST_S;
+    double burst = (double)l->bytes_per_s * BURST_S;
     l->allowance += (double)l->bytes_per_s * (double)(now_us - l->refilled_us) /
                     WP_US_PER_S;
-    l->allowance = MIN(l->allowance, most);
+    l->allowance = MIN(l->allowance, burst);
     l->refilled_us = now_us;
-    if (l->dropped > l->dropped_told && l->pending->len < PENDING_MOST / 2) {
+    if (l->dropped > l->dropped_reported && l->pending->len < PENDING_MAX / 2) {
         g_autofree char *n = g_strdup_printf(
-            "%lu", (unsigned long)(l->dropped - l->dropped_told));
-        l->dropped_told = l->dropped;
+            "%lu", (unsigned long)(l->dropped - l->dropped_reported));
+        l->dropped_reported = l->dropped;
         wp_log(l, WP_WARN, "log_dropped", "lines", n, (char *)NULL);
     }
     write_pending(l);
@@ -86,7 +86,7 @@
     g_string_append_printf(out, "\"%s\"", quoted);
 }
 
-static void add_stamp(GString *out)
+static void add_timestamp(GString *out)
 {
     int64_t ms = wp_clock_now(0).wall_ms;
     g_autoptr(GDateTime) t = g_date_time_new_from_unix_utc(ms / WP_MS_PER_S);
@@ -99,7 +99,7 @@
 {
     const char *key;
     g_string_append(out, "time=");
-    add_stamp(out);
+    add_timestamp(out);
     g_string_append_printf(out, " level=%s box=%s event=%s", level_names[level],
                            l->box, event);
     while ((key = va_arg(ap, const char *)))
@@ -111,7 +111,7 @@
 {
     const char *key;
     g_autoptr(GString) at = g_string_new(NULL);
-    add_stamp(at);
+    add_timestamp(at);
     json_t *o = json_pack("{s:s,s:s,s:s,s:s}", "time", at->str, "level",
                           level_names[level], "box", l->box, "event", event);
     while ((key = va_arg(ap, const char *)))
@@ -122,12 +122,13 @@
     json_decref(o);
 }
 
-/* Whether the line may still be written within the rate. Warnings may. */
+/* Whether a line of `n` bytes may be written, by the bound on buffered bytes
+   and by the rate limit, which warnings and errors are exempt from. */
 static bool allow(WPLog *l, WPLevel level, size_t n)
 {
     if (!l->pending)
         return true;
-    if (l->pending->len + n > PENDING_MOST)
+    if (l->pending->len + n > PENDING_MAX)
         return false;
     if (!l->bytes_per_s || level > WP_INFO)
         return true;
@@ -140,7 +141,7 @@
 void wp_log(WPLog *l, WPLevel level, const char *event, ...)
 {
     va_list ap;
-    if (level < l->least)
+    if (level < l->min_level)
         return;
     g_autoptr(GString) out = g_string_new(NULL);
     va_start(ap, event);
@@ -159,5 +160,5 @@
         return;
     }
     ssize_t wrote = write(l->fd, out->str, out->len);
-    (void)wrote; /* nobody is left to tell */
+    (void)wrote; /* a fault here cannot be logged */
 }
--- a/io/wp_net.h
+++ b/io/wp_net.h
@@ -1,4 +1,4 @@
-/* Socket options that every connection of the direct way gets. */
+/* Socket options and outgoing connections, in direct mode. */
 #ifndef WP_NET_H
 #define WP_NET_H
 
@@ -7,13 +7,14 @@
 struct bufferevent;
 struct event_base;
 
-/* No delay, and short probes, so that a peer that fell silent is found in
-   about `silent_ms`. */
-void wp_net_options(int fd, uint32_t silent_ms);
+/* Sets TCP_NODELAY, keepalive probes and TCP_USER_TIMEOUT, so that a peer that
+   no longer responds is detected after about `dead_ms`. */
+void wp_net_options(int fd, uint32_t dead_ms);
 
-/* A connection to `addr` (IP:PORT) from the address `from`; NULL when either
-   is malformed or no socket is left. */
+/* Begins a connection to `addr` (IP:PORT), with the options above, from the
+   local address `from`; one that is NULL, malformed or not available is
+   ignored. Returns NULL if `addr` is malformed or no socket can be opened. */
 struct bufferevent *wp_net_connect(struct event_base *base, const char *from,
-                                   const char *addr, uint32_t silent_ms);
+                                   const char *addr, uint32_t dead_ms);
 
 #endif
--- a/io/wp_peers.c
+++ b/io/wp_peers.c
@@ -443,7 +443,7 @@
     return 1 + MAX(g_hash_table_size(p->members), p->n_seeds);
 }
 
-const WPTraffic *wp_peers_traffic(const WPPeers *p)
+const WPPeerTraffic *wp_peers_traffic(const WPPeers *p)
 {
     return wp_hub_traffic(p->hub);
 }
--- a/io/wp_peers.h
+++ b/io/wp_peers.h
@@ -7,7 +7,7 @@
 #include "settings.pb-c.h"
 #include "wp_mirror.h"
 #include "wp_shift.h"
-#include "wp_traffic.h"
+#include "wp_peer_traffic.h"
 
 #include <event2/event.h>
 
@@ -150,7 +150,7 @@
 uint32_t wp_peers_generation(const WPPeers *p);
 
 /* Returns the bytes sent to and received from other boxes. */
-const WPTraffic *wp_peers_traffic(const WPPeers *p);
+const WPPeerTraffic *wp_peers_traffic(const WPPeers *p);
 
 /* Returns the number of links that are up. */
 unsigned wp_peers_linked_count(const WPPeers *p);
--- a/io/wp_relay.c
+++ b/io/wp_relay.c
@@ -51,7 +51,7 @@
     WPCounters *c = &r->host->direct.counters;
     c->codes[code]++;
     wp_count(c, i->ran == WP_RAN_NOT_RUN ? WP_C_REFUSED : WP_C_FAILED);
-    r->host->platform->write_own(r->flow->id, retry_ms, fields);
+    r->host->platform->write_box_answer_fields(r->flow->id, retry_ms, fields);
     g_string_append(fields, "Content-Type: application/json\r\n");
     wp_relay_log_end(r, i->code, i->status);
     free_relay(r);
@@ -106,21 +106,21 @@
 {
     const WPHead *h = &r->downstream_conn->head;
     const GByteArray *body = r->downstream_conn->body;
-    WPLegText attempt = { .replica = m->replica->id,
-                          .workspace = r->flow->workspace,
-                          .model = m->model,
-                          .budget_ms = r->flow->deadline_us < INT64_MAX / 2
-                                           ? m->budget_ms
-                                           : 0,
-                          .fetch = m->fetch,
-                          .priority = r->flow->priority,
-                          .resumes = r->stream.has_last_id,
-                          .after_event = r->stream.last_id };
+    WPAttemptHeader attempt = {
+        .replica_id = m->replica->id,
+        .workspace = r->flow->workspace,
+        .model = m->model,
+        .budget_ms = r->flow->deadline_us < INT64_MAX / 2 ? m->budget_ms : 0,
+        .prefix_source = m->fetch,
+        .priority = r->flow->priority,
+        .resumes = r->stream.has_last_id,
+        .after_event = r->stream.last_id
+    };
     evbuffer_add(out, h->method.p, h->method.n);
     evbuffer_add(out, " ", 1);
     evbuffer_add(out, h->target.p, h->target.n);
     evbuffer_add_printf(out, " HTTP/1.1\r\n");
-    r->host->platform->write_leg(h, &attempt, out);
+    r->host->platform->write_attempt_fields(h, &attempt, out);
     if (body->len || !wp_str_eq(h->method, wp_str("GET")))
         evbuffer_add_printf(out, "Content-Length: %u\r\n", body->len);
     evbuffer_add(out, "\r\n", 2);
@@ -135,14 +135,14 @@
     bool non_repeatable = r->flow->route->retry_policy == WP_RETRY_NEVER;
     wp_relay_note_attempt(r, m, now);
     write_request(r, m, request);
-    wp_sync_share(r->host->sync);
+    wp_sync_schedule_zone_updates(r->host->sync);
     r->forwards_stream = false;
     r->answer = (WPDirectAnswer){ 0 };
     g_byte_array_set_size(r->body, 0);
     wp_stream_discard_partial(&r->stream);
     r->events_before_attempt = r->stream.events;
     r->upstream_conn =
-        wp_upstream_send(r->host->back, now, m->replica, request,
+        wp_upstream_send(r->host->upstream, now, m->replica, request,
                          r->downstream_conn->is_head, non_repeatable, r);
     evbuffer_free(request);
     if (r->upstream_conn && m->patience_ms) {
@@ -161,13 +161,13 @@
 static void share_findings(WPRelay *r)
 {
     WPFlow *f = r->flow;
-    wp_sync_suspects(r->host->sync);
+    wp_sync_schedule_suspects(r->host->sync);
     if (!f->fails_loaded)
         return;
     wp_log(&r->host->log, WP_WARN, "fails_loaded", "service", f->service->name,
            "version", f->fails_loaded, "id", f->id, NULL);
     g_clear_pointer(&f->fails_loaded, g_free);
-    wp_sync_tell(r->host->sync);
+    wp_sync_schedule_digest(r->host->sync);
 }
 
 /* Holds the request until the routes are known, for `ms` at most. */
@@ -227,7 +227,7 @@
     g_string_truncate(r->fields, 0);
     for (size_t i = 0; i < h->n_fields; i++) {
         const WPField *f = &h->fields[i];
-        if (!r->host->platform->passes_back(h, f))
+        if (!r->host->platform->is_forwarded_to_caller(h, f))
             continue;
         g_string_append_len(r->fields, f->name.p, (gssize)f->name.n);
         g_string_append(r->fields, ": ");
@@ -245,7 +245,7 @@
     wp_flow_head(r->flow, wp_clock_now(0), &r->answer, &heard);
     wp_relay_log_head_changes(r, s, &heard);
     if (heard.leaves || heard.rests || heard.limit == WP_LIMIT_CHANGED)
-        wp_sync_notices(r->host->sync);
+        wp_sync_schedule_notices(r->host->sync);
 }
 
 static void on_head(void *arg, const WPHead *h)
@@ -262,7 +262,7 @@
     if (!r->answer_streams)
         return;
     wp_flow_answer(r->flow, wp_clock_now(0), &r->answer, &m);
-    wp_sync_share(r->host->sync);
+    wp_sync_schedule_zone_updates(r->host->sync);
     do_action(r, &m);
 }
 
@@ -294,11 +294,12 @@
 static void buffer_body(WPRelay *r, const char *p, size_t n)
 {
     g_byte_array_append(r->body, (const guint8 *)p, (guint)n);
-    if (r->host->held.over_limit && r->body->len >= WP_BUFFERED_EXEMPT_BYTES)
+    if (r->host->buffered.over_limit &&
+        r->body->len >= WP_BUFFERED_EXEMPT_BYTES)
         wp_upstream_set_paused(r->upstream_conn, true);
 }
 
-uint64_t wp_relay_held(const WPDirectHost *h)
+uint64_t wp_relay_buffered_bytes(const WPDirectHost *h)
 {
     uint64_t sum = 0;
     wp_list_each (it, &h->relays) {
@@ -308,7 +309,7 @@
     return sum;
 }
 
-void wp_relay_go_on(WPDirectHost *h)
+void wp_relay_resume_reads(WPDirectHost *h)
 {
     wp_list_each (it, &h->relays) {
         WPRelay *r = wp_list_item(it, WPRelay, node);
@@ -350,7 +351,7 @@
         return;
     }
     wp_flow_answer(r->flow, wp_clock_now(0), &r->answer, &m);
-    wp_sync_share(r->host->sync);
+    wp_sync_schedule_zone_updates(r->host->sync);
     do_action(r, &m);
 }
 
@@ -370,8 +371,8 @@
     do_action(r, &m);
 }
 
-const WPUpstreamOps wp_relay_back_ops = { is_answer, on_head, on_body,
-                                          on_complete, on_lost };
+const WPUpstreamOps wp_relay_upstream_ops = { is_answer, on_head, on_body,
+                                              on_complete, on_lost };
 
 static void on_deadline(evutil_socket_t fd, short what, void *arg)
 {
@@ -407,7 +408,7 @@
         event_add(r->deadline_timer, &at);
 }
 
-void wp_relay_set_timers(WPDirectHost *h, WPTime now)
+void wp_relay_reset_deadlines(WPDirectHost *h, WPTime now)
 {
     wp_list_each_safe (it, tmp, &h->relays) {
         set_deadline_timer(wp_list_item(it, WPRelay, node), now);
@@ -446,7 +447,7 @@
     wp_count(&h->direct.counters, WP_C_REFUSED);
     wp_log(&h->log, WP_INFO, "refused", "id", id, "code", i->code, "why", why,
            NULL);
-    h->platform->write_own(id, retry_ms, fields);
+    h->platform->write_box_answer_fields(id, retry_ms, fields);
     g_string_append(fields, "Content-Type: application/json\r\n");
     wp_downstream_send_answer(p, i->status, wp_strn(fields->str, fields->len),
                               wp_str(body));
@@ -465,12 +466,12 @@
                                  const WPDownstreamConn *p, const WPHead *head,
                                  WPDirectAsk *out)
 {
-    const char *problem = h->platform->read_ask(head, out);
+    const char *problem = h->platform->parse_request(head, out);
     out->body_bytes = p->body->len;
     out->content = content_hash(head, p->body);
-    if (h->end_us)
+    if (h->exit_us)
         out->stay_ms =
-            (uint32_t)MAX(1, (h->end_us - now.mono_us) / WP_US_PER_MS);
+            (uint32_t)MAX(1, (h->exit_us - now.mono_us) / WP_US_PER_MS);
     return problem;
 }
 
@@ -489,7 +490,7 @@
     do_action(r, &m);
 }
 
-void wp_relay_enter_held(WPDirectHost *h)
+void wp_relay_admit_held(WPDirectHost *h)
 {
     WPTime now = wp_clock_now(0);
     wp_list_each_safe (it, tmp, &h->relays) {
@@ -550,5 +551,5 @@
            detail, NULL);
 }
 
-const WPDownstreamOps wp_relay_front_ops = { on_request, on_caller_gone,
-                                             on_writable, on_refused };
+const WPDownstreamOps wp_relay_downstream_ops = { on_request, on_caller_gone,
+                                                  on_writable, on_refused };
--- a/io/wp_relay_log.c
+++ b/io/wp_relay_log.c
@@ -94,7 +94,7 @@
 
 void wp_relay_note_attempt(WPRelay *r, const WPMove *m, WPTime now)
 {
-    r->registry_age_ms = wp_sync_list_age_ms(r->host->sync, now);
+    r->registry_age_ms = wp_sync_registry_age_ms(r->host->sync, now);
     const WPReplica *s = m->replica;
     int64_t age_ms =
         s->reported.load_reported_us
--- a/io/wp_reply.c
+++ b/io/wp_reply.c
@@ -77,19 +77,19 @@
     wp_exchange_grant(x, n);
 }
 
-void wp_reply_pass_on(WPExchange *x)
+void wp_reply_forward(WPExchange *x)
 {
-    size_t n = evbuffer_get_length(x->held);
+    size_t n = evbuffer_get_length(x->pending_answer);
     if (!x->http || !n)
         return;
-    if (!x->replying) {
-        x->replying = true;
+    if (!x->reply_started) {
+        x->reply_started = true;
         x->request->passed_on = true;
         add_answer_headers(x);
         evhttp_send_reply_start(x->http, x->status, NULL);
     }
     x->unwritten += n;
-    evhttp_send_reply_chunk_with_cb(x->http, x->held, on_written, x);
+    evhttp_send_reply_chunk_with_cb(x->http, x->pending_answer, on_written, x);
 }
 
 /* Clears the exchange's reference to the evhttp request, and the callback for
@@ -101,18 +101,18 @@
     x->http = NULL;
 }
 
-void wp_reply_end(WPExchange *x)
+void wp_reply_finish(WPExchange *x)
 {
     struct evhttp_request *r = x->http;
     if (!r)
         return;
-    if (!x->replying) {
+    if (!x->reply_started) {
         add_answer_headers(x);
         detach_http(x);
-        evhttp_send_reply(r, x->status, NULL, x->held);
+        evhttp_send_reply(r, x->status, NULL, x->pending_answer);
         return;
     }
-    wp_reply_pass_on(x);
+    wp_reply_forward(x);
     detach_http(x);
     evhttp_send_reply_end(r);
 }
@@ -120,7 +120,7 @@
 /* Part of the answer has been sent and the rest will not arrive. A stream is
    ended with an error event; for any other answer the connection is closed, so
    that the caller does not take it for complete. */
-void wp_reply_broken(WPExchange *x, WPCode code)
+void wp_reply_abort(WPExchange *x, WPCode code)
 {
     struct evhttp_request *r = x->http;
     struct evhttp_connection *con;
@@ -134,8 +134,8 @@
     }
     json_t *o = error_json(code, 0, NULL, x->request);
     char *text = json_dumps(o, JSON_COMPACT);
-    evbuffer_add_printf(x->held, "data: %s\n\n", text);
-    wp_reply_pass_on(x);
+    evbuffer_add_printf(x->pending_answer, "data: %s\n\n", text);
+    wp_reply_forward(x);
     detach_http(x);
     evhttp_send_reply_end(r);
     free(text);
--- a/io/wp_reports.c
+++ b/io/wp_reports.c
@@ -1,4 +1,4 @@
-/* Reports of usage: does what src/wp_duty.c decides. */
+/* Usage reports: carries out what src/wp_report_lease.c decides. */
 #include "wp_reports.h"
 #include "wp_duty.h"
 #include "wp_http.h"
@@ -8,10 +8,12 @@
 #include <stdio.h>
 
 enum {
-    SEND_MS = 900,    /* a report's answer; with the half lease in which it sets
-                         out it arrives before another box may send */
-    KEEP_WINDOWS = 3, /* after a report is due */
-    FIGURE = 24       /* bytes of a figure as text */
+    SEND_MS = 900,    /* time-out of a report. A report is sent within the first
+                         half of the lease and so, with this, has ended before
+                         another box may send one. */
+    KEEP_WINDOWS = 3, /* windows for which counts are kept after their report
+                         is due */
+    NUMBER_SIZE = 24  /* bytes of a number as text */
 };
 
 struct WPReports {
@@ -19,14 +21,14 @@
     WPUsage *usage;
     WPUsageUpdates *news;
     WPDuty *duty;
-    char *box; /* settings go when they are read anew */
+    char *box; /* a copy, as a reload frees the settings */
     WPHttp *service;
-    GByteArray *value;   /* of the write under way */
+    GByteArray *value;   /* of the write in progress */
     bool holder;         /* as last logged */
-    const char *problem; /* the same */
-    uint64_t missed;     /* the same */
-    uint64_t window;     /* of the report under way */
-    int64_t sent_us;
+    const char *problem; /* as last logged */
+    uint64_t missed;     /* as last logged */
+    uint64_t window;     /* of the report in progress */
+    int64_t sent_us;     /* when that was sent */
 };
 
 static WPLog *log_of(const WPReports *r)
@@ -39,14 +41,15 @@
     return &r->sync->host->direct.counters;
 }
 
-/* Only a box that other boxes' counts come to may report them. */
-static WPDutyFit fit_of(const WPReports *r)
+/* Whether this box may hold the lease. Only one that receives the other boxes'
+   counts may report them. */
+static WPDutyFit eligibility_of(const WPReports *r)
 {
     const WPSync *s = r->sync;
     if (!s->store_up || !s->complete)
         return WP_DUTY_CANNOT;
-    bool fit = !s->host->leaving && wp_peers_is_relay_root(s->peers);
-    return fit ? WP_DUTY_MAY : WP_DUTY_YIELDS;
+    bool eligible = !s->host->draining && wp_peers_is_relay_root(s->peers);
+    return eligible ? WP_DUTY_MAY : WP_DUTY_YIELDS;
 }
 
 static uint64_t total_of(const Wp__SettledUsage *u)
@@ -61,12 +64,12 @@
 {
     for (size_t i = 0; i < rec->n_settled; i++) {
         const Wp__SettledUsage *u = rec->settled[i];
-        char window[FIGURE], total[FIGURE], many[FIGURE];
+        char window[NUMBER_SIZE], total[NUMBER_SIZE], workspaces[NUMBER_SIZE];
         snprintf(window, sizeof(window), "%lu", (gulong)u->window);
         snprintf(total, sizeof(total), "%lu", (gulong)total_of(u));
-        snprintf(many, sizeof(many), "%zu", u->n_workspaces);
+        snprintf(workspaces, sizeof(workspaces), "%zu", u->n_workspaces);
         wp_log(log_of(r), WP_INFO, "usage_settled", "window", window,
-               "requests", total, "workspaces", many, NULL);
+               "requests", total, "workspaces", workspaces, NULL);
     }
 }
 
@@ -106,28 +109,30 @@
 {
     WPReports *r = arg;
     WPTime now = wp_clock_now(0);
-    char window[FIGURE], code[FIGURE], ms[FIGURE], fence[FIGURE];
-    bool taken = status == 200;
+    char window[NUMBER_SIZE], code[NUMBER_SIZE], ms[NUMBER_SIZE],
+        fence[NUMBER_SIZE];
+    bool accepted = status == 200;
     (void)body;
     snprintf(window, sizeof(window), "%lu", (gulong)r->window);
     snprintf(code, sizeof(code), "%d", status);
     snprintf(fence, sizeof(fence), "%lu", (gulong)wp_duty_fence(r->duty));
     snprintf(ms, sizeof(ms), "%.1f",
              (double)(now.mono_us - r->sent_us) / WP_US_PER_MS);
-    wp_count(counters_of(r), taken ? WP_C_REPORTS : WP_C_REPORTS_FAILED);
-    wp_log(log_of(r), taken ? WP_INFO : WP_WARN,
-           taken ? "usage_reported" : "usage_report_failed", "window", window,
-           "fence", fence, "status", code, "ms", ms, NULL);
-    wp_duty_sent(r->duty, now, taken);
+    wp_count(counters_of(r), accepted ? WP_C_REPORTS : WP_C_REPORTS_FAILED);
+    wp_log(log_of(r), accepted ? WP_INFO : WP_WARN,
+           accepted ? "usage_reported" : "usage_report_failed", "window",
+           window, "fence", fence, "status", code, "ms", ms, NULL);
+    wp_duty_sent(r->duty, now, accepted);
 }
 
 static void send_report(WPReports *r, WPTime now, const WPDutyAct *a)
 {
-    WPReportText t;
+    WPUsageReport t;
     r->sync->host->platform->write_report(r->box, a->fence, a->report, &t);
     r->window = a->report->window;
     r->sent_us = now.mono_us;
-    /* One that rested since the last window may have fallen silent. */
+    /* A connection that was idle since the last window may be dead without a
+       sign: a new one is used. */
     wp_http_reconnect(r->service);
     wp_http_call_with_fields(r->service, t.path, t.fields, WP_REPORT_FIELDS,
                              t.body, on_sent, NULL, r);
@@ -138,21 +143,21 @@
 
 static void log_holder(WPReports *r)
 {
-    bool is = wp_duty_is_mine(r->duty);
-    char fence[FIGURE];
-    if (is == r->holder)
+    bool holds = wp_duty_is_mine(r->duty);
+    char fence[NUMBER_SIZE];
+    if (holds == r->holder)
         return;
-    r->holder = is;
+    r->holder = holds;
     snprintf(fence, sizeof(fence), "%lu", (gulong)wp_duty_fence(r->duty));
-    wp_log(log_of(r), WP_INFO, is ? "duty_taken" : "duty_lost", "duty", "usage",
-           "fence", fence, NULL);
+    wp_log(log_of(r), WP_INFO, holds ? "duty_taken" : "duty_lost", "duty",
+           "usage", "fence", fence, NULL);
 }
 
-static void log_trouble(WPReports *r, WPTime now)
+static void log_problems(WPReports *r, WPTime now)
 {
     const char *problem = wp_duty_problem(r->duty, now);
     uint64_t missed = wp_duty_missed(r->duty) - r->missed;
-    char n[FIGURE];
+    char n[NUMBER_SIZE];
     if (problem && problem != r->problem)
         wp_log(log_of(r), WP_ERROR_LEVEL, "usage_barred", "why", problem, NULL);
     r->problem = problem;
@@ -168,26 +173,27 @@
 {
     WPDutyAct a;
     wp_usage_updates_tick(r->news, now);
-    wp_duty_next(r->duty, now, fit_of(r), &a);
+    wp_duty_next(r->duty, now, eligibility_of(r), &a);
     if (a.kind == WP_DUTY_WRITE)
         write_record(r, &a);
     else if (a.kind == WP_DUTY_SEND)
         send_report(r, now, &a);
     log_holder(r);
-    log_trouble(r, now);
+    log_problems(r, now);
 }
 
-void wp_reports_heard(WPReports *r, bool far, const Wp__UsageNews *n)
+void wp_reports_merge(WPReports *r, bool remote_zone, const Wp__UsageNews *n)
 {
-    wp_usage_updates_merge(r->news, far, n);
+    wp_usage_updates_merge(r->news, remote_zone, n);
 }
 
-void wp_reports_peer(WPReports *r)
+void wp_reports_mark_all_unsent(WPReports *r)
 {
     wp_usage_tell_all(r->usage);
 }
 
-void wp_reports_record(WPReports *r, const WPStr *value, uint64_t revision)
+void wp_reports_observe_record(WPReports *r, const WPStr *value,
+                               uint64_t revision)
 {
     WPTime now = wp_clock_now(0);
     Wp__DutyRecord *rec =
@@ -198,14 +204,14 @@
     wp_pb_free(rec);
 }
 
-void wp_reports_fill(const WPReports *r, WPTime now, Wp__MirrorDigest *d)
+void wp_reports_fill_digest(const WPReports *r, WPTime now, Wp__MirrorDigest *d)
 {
     d->has_clock_ms = 1;
     d->clock_ms = (uint64_t)wp_usage_own_clock_ms(r->usage, now.mono_us);
 }
 
-void wp_reports_hear_clock(WPReports *r, WPTime now, const char *from,
-                           const Wp__MirrorDigest *d)
+void wp_reports_observe_clock(WPReports *r, WPTime now, const char *from,
+                              const Wp__MirrorDigest *d)
 {
     if (d->has_clock_ms)
         wp_usage_hear_clock(r->usage, now, wp_hash(wp_str(from), 0),
@@ -217,24 +223,22 @@
     return wp_duty_is_mine(r->duty);
 }
 
-/* Whether the settings ask for reports; names of duties that are not known here
-   are told. */
-static bool has_duty(WPSync *s)
+/* Whether the settings ask for usage reports. Logs names in the setting
+   `duties` that this version does not know. */
+static bool reports_wanted(WPSync *s)
 {
     const Wp__DirectSettings *set = s->host->settings;
     bool usage = false;
     for (size_t i = 0; i < set->n_duties; i++) {
-        bool is = s->host->platform->is_usage_duty(set->duties[i]);
-        usage = usage || is;
-        if (!is)
+        bool known = s->host->platform->is_usage_duty(set->duties[i]);
+        usage = usage || known;
+        if (!known)
             wp_log(&s->host->log, WP_INFO, "duty_not_taken", "duty",
-                   set->duties[i], "why", "this release does not know it",
-                   NULL);
+                   set->duties[i], "why", "unknown to this version", NULL);
     }
     if (usage && (!*set->report_to || set->usage_window_s <= 0)) {
         wp_log(&s->host->log, WP_ERROR_LEVEL, "bad_setting", "why",
-               "usage is to be reported, but no address or window is given",
-               NULL);
+               "usage reporting needs report_to and usage_window_s", NULL);
         return false;
     }
     return usage;
@@ -246,7 +250,7 @@
     uint32_t window_ms = (uint32_t)(set->usage_window_s * WP_MS_PER_S);
     uint32_t late_ms = (uint32_t)(set->usage_late_s * WP_MS_PER_S);
     WPTime now = wp_clock_now(0);
-    if (!has_duty(s))
+    if (!reports_wanted(s))
         return NULL;
     WPHttp *service = wp_http_new(s->host->base, set->report_to, SEND_MS);
     if (!service) {
--- a/io/wp_reports.h
+++ b/io/wp_reports.h
@@ -1,6 +1,7 @@
-/* Reports of usage: this box's counts go to the box of its zone that passes
- * news on, from there to those of the other zones; one of these has the duty to
- * report the sums (src/wp_usage.h, src/wp_duty.h). */
+/* Usage reports: this box's counts go to the relay root of its zone (the box
+ * that passes updates on to the others of the zone), and from there to the
+ * relay roots of the other zones. One of these holds the usage reporting lease
+ * and reports the sums (src/wp_usage.h, src/wp_report_lease.h). */
 #ifndef WP_REPORTS_H
 #define WP_REPORTS_H
 
@@ -8,26 +9,35 @@
 
 typedef struct WPReports WPReports;
 
-/* NULL when the settings ask for no reports. */
+/* Returns NULL if the settings ask for no usage reports, or if they are
+   invalid, which is logged. */
 WPReports *wp_reports_new(WPSync *s);
 void wp_reports_free(WPReports *r);
+
+/* Called on each tick of `s`: sends counts to other boxes, and writes the lease
+   record or sends a report when due. */
 void wp_reports_tick(WPReports *r, WPTime now);
 
-/* Another box's counts; `far`: it is of another zone. */
-void wp_reports_heard(WPReports *r, bool far, const Wp__UsageNews *n);
+/* Merges another box's counts; `remote_zone`: they come from another zone. */
+void wp_reports_merge(WPReports *r, bool remote_zone, const Wp__UsageNews *n);
 
-/* A box was reached or lost: it may lack what the others were told. */
-void wp_reports_peer(WPReports *r);
+/* A connection to a box was made or lost: all counts are sent again, as a box
+   may lack those that were sent before. */
+void wp_reports_mark_all_unsent(WPReports *r);
 
-/* The store's record of the duty; NULL: it has been removed. */
-void wp_reports_record(WPReports *r, const WPStr *value, uint64_t revision);
+/* Takes the store's record of the usage reporting lease at this revision; NULL:
+   it has been removed. */
+void wp_reports_observe_record(WPReports *r, const WPStr *value,
+                               uint64_t revision);
 
-/* Times of day, as digests carry them. */
-void wp_reports_fill(const WPReports *r, WPTime now, Wp__MirrorDigest *d);
-void wp_reports_hear_clock(WPReports *r, WPTime now, const char *from,
-                           const Wp__MirrorDigest *d);
+/* Digests carry the clock that usage windows are based on. The first adds this
+   box's to a digest, the second takes that of the box `from`. */
+void wp_reports_fill_digest(const WPReports *r, WPTime now,
+                            Wp__MirrorDigest *d);
+void wp_reports_observe_clock(WPReports *r, WPTime now, const char *from,
+                              const Wp__MirrorDigest *d);
 
-/* Whether this box has the duty. */
+/* Whether this box holds the usage reporting lease. */
 bool wp_reports_is_holder(const WPReports *r);
 
 #endif
--- a/io/wp_rollout_control.c
+++ b/io/wp_rollout_control.c
@@ -27,7 +27,8 @@
 {
     WPPolicy *p = wp_entry_policy(s->entry);
     const WPQuality *q = wp_node_quality(wp_host_node(s->host));
-    GPtrArray *ops = wp_rollout_step(s->chart, p, q, &s->watch, now, why);
+    GPtrArray *ops =
+        wp_rollout_step(s->chart, p, q, &s->rollout_monitor, now, why);
     if (!ops && !wp_guard_is_disabled(s->settings->node, WP_GUARD_STOP_BAD)) {
         ops = wp_withdraw_bad_version(p, q, now, why);
         *stop = ops != NULL;
@@ -35,7 +36,7 @@
     return ops;
 }
 
-void wp_steer_tick(WPServer *s, WPTime now)
+void wp_rollout_control_tick(WPServer *s, WPTime now)
 {
     WPNode *n = wp_host_node(s->host);
     WPKv *kv = wp_host_kv(s->host);
@@ -45,7 +46,7 @@
         !wp_node_ready(n) || !wp_entry_policy(s->entry))
         return;
     s->rollout_due_us = now.mono_us + CONTROL_INTERVAL_US;
-    wp_rollout_monitor_poll(&s->watch, wp_entry_policy(s->entry),
+    wp_rollout_monitor_poll(&s->rollout_monitor, wp_entry_policy(s->entry),
                             wp_node_quality(n), now);
     if (!wp_node_is_designated_entry(n, DESIGNATED_PER_ZONE))
         return;
--- a/io/wp_runner.c
+++ b/io/wp_runner.c
@@ -330,11 +330,11 @@
 
 static const WPRoleOps role_ops = {
     .refresh = role_refresh,
-    .frame = role_frame,
-    .link_down = role_link_down,
+    .on_frame = role_frame,
+    .on_link_down = role_link_down,
     .load = role_load,
     .tick = role_tick,
-    .leave = role_drain,
+    .drain = role_drain,
     .idle = role_idle,
     .bills = role_bills,
     .bills_settled = role_bills_settled,
--- a/io/wp_server.c
+++ b/io/wp_server.c
@@ -1,4 +1,4 @@
-/* The entry's HTTP server and its place in the host. */
+/* The entry's HTTP server, and its callbacks as the role of the host. */
 #include "wp_pb.h"
 #include "wp_server_int.h"
 
@@ -42,17 +42,17 @@
     WPExchange *x = g_new0(WPExchange, 1);
     x->server = s;
     x->http = r;
-    x->held = evbuffer_new();
+    x->pending_answer = evbuffer_new();
     x->status = 200;
-    x->body = json_incref(text->body);
+    x->json_body = json_incref(text->body);
     x->path = g_strdup(text->path);
     x->method = g_strdup(method_name(r));
     x->stream = text->stream;
     x->want_usage = text->want_usage;
-    if (!x->body) {
+    if (!x->json_body) {
         struct evbuffer *in = evhttp_request_get_input_buffer(r);
-        x->raw = g_byte_array_new();
-        g_byte_array_append(x->raw, evbuffer_pullup(in, -1),
+        x->raw_body = g_byte_array_new();
+        g_byte_array_append(x->raw_body, evbuffer_pullup(in, -1),
                             (guint)evbuffer_get_length(in));
     }
     wp_list_append(&s->exchanges, &x->node);
@@ -61,7 +61,8 @@
     return x;
 }
 
-/* Requests that cannot be turned into a question are answered here. */
+/* Answers a request that the entry is not asked about, as it is refused with
+   `code` or cannot be parsed. Returns false for WP_OK. */
 static bool refuse_early(WPServer *s, struct evhttp_request *r, WPCode code,
                          const char *detail)
 {
@@ -78,24 +79,24 @@
 
 static WPCode can_serve(const WPServer *s)
 {
-    if (wp_host_leaving(s->host) && !wp_host_lame_duck(s->host))
+    if (wp_host_is_draining(s->host) && !wp_host_lame_duck(s->host))
         return WP_LEAVING;
     if (!wp_node_ready(wp_host_node(s->host)) || !wp_entry_policy(s->entry))
         return WP_NOT_READY;
     return WP_OK;
 }
 
-typedef WPCode (*ReadFn)(const WPPolicy *p, struct evhttp_request *r,
-                         WPParsedRequest *out, const char **detail);
+typedef WPCode (*ParseFn)(const WPPolicy *p, struct evhttp_request *r,
+                          WPParsedRequest *out, const char **detail);
 
-static void serve(WPServer *s, struct evhttp_request *r, ReadFn read)
+static void serve(WPServer *s, struct evhttp_request *r, ParseFn parse)
 {
     WPParsedRequest text = { 0 };
     const char *detail = NULL;
     WPStep step;
     WPCode code = can_serve(s);
     if (code == WP_OK)
-        code = read(wp_entry_policy(s->entry), r, &text, &detail);
+        code = parse(wp_entry_policy(s->entry), r, &text, &detail);
     if (refuse_early(s, r, code, detail)) {
         wp_parsed_request_end(&text);
         return;
@@ -103,12 +104,12 @@
     WPTime now = now_of(s);
     WPExchange *x = new_exchange(s, r, &text);
     x->request = wp_entry_begin(s->entry, now, &text.params, &step);
-    text.params.labels = NULL; /* the request has taken them over */
+    text.params.labels = NULL; /* the request owns them now */
     wp_histogram_add(&wp_node_counters(wp_host_node(s->host))->decision,
                      now_of(s).mono_us - now.mono_us);
     wp_parsed_request_end(&text);
-    wp_exchange_do(x, step);
-    wp_host_pump(s->host);
+    wp_exchange_run_action(x, step);
+    wp_host_run_actions(s->host);
 }
 
 static void add_model(json_t *list, const char *id, const char *owner)
@@ -118,7 +119,8 @@
                                     "model", "created", 0, "owned_by", owner));
 }
 
-/* What this workspace may name: kinds, and the versions of any kind. */
+/* Answers with the list of models that the workspace may name: kinds, and the
+   versions allowed for any of these kinds. */
 static void list_models(WPServer *s, struct evhttp_request *r)
 {
     WPPolicy *p = wp_entry_policy(s->entry);
@@ -173,14 +175,14 @@
     wp_entry_refresh(((WPServer *)role)->entry, now);
 }
 
-static void role_frame(void *role, WPLink *l, Wp__Frame *f)
+static void role_on_frame(void *role, WPLink *l, Wp__Frame *f)
 {
-    wp_legs_frame(role, l, f);
+    wp_attempts_on_frame(role, l, f);
 }
 
-static void role_link_down(void *role, WPLink *l)
+static void role_on_link_down(void *role, WPLink *l)
 {
-    wp_legs_down(role, l);
+    wp_attempts_on_link_down(role, l);
 }
 
 static void tick_exchange(WPExchange *x, WPTime now)
@@ -189,10 +191,10 @@
     if (now.mono_us >= x->request->deadline_us) {
         WPStep step = wp_entry_expired(e, now, x->request);
         wp_exchange_cancel(x);
-        wp_exchange_do(x, step);
-    } else if (x->again_us && now.mono_us >= x->again_us) {
-        x->again_us = 0;
-        wp_exchange_do(x, wp_entry_again(e, now, x->request));
+        wp_exchange_run_action(x, step);
+    } else if (x->retry_at_us && now.mono_us >= x->retry_at_us) {
+        x->retry_at_us = 0;
+        wp_exchange_run_action(x, wp_entry_again(e, now, x->request));
     }
 }
 
@@ -201,11 +203,11 @@
     WPServer *s = role;
     wp_list_each_safe (it, tmp, &s->exchanges)
         tick_exchange(wp_list_item(it, WPExchange, node), now);
-    wp_legs_tell_witness(s);
-    wp_steer_tick(s, now);
+    wp_attempts_send_backup(s);
+    wp_rollout_control_tick(s, now);
 }
 
-static void role_leave(void *role, WPTime now)
+static void role_drain(void *role, WPTime now)
 {
     WPServer *s = role;
     wp_node_drain(wp_host_node(s->host), now);
@@ -269,10 +271,10 @@
 
 static const WPRoleOps role_ops = {
     .refresh = role_refresh,
-    .frame = role_frame,
-    .link_down = role_link_down,
+    .on_frame = role_on_frame,
+    .on_link_down = role_on_link_down,
     .tick = role_tick,
-    .leave = role_leave,
+    .drain = role_drain,
     .idle = role_idle,
     .bills = role_bills,
     .status = role_status,
@@ -298,7 +300,7 @@
     s->settings = settings;
     s->streams = g_hash_table_new(g_int64_hash, g_int64_equal);
     wp_list_init(&s->exchanges);
-    wp_rollout_monitor_init(&s->watch);
+    wp_rollout_monitor_init(&s->rollout_monitor);
     s->chart = load_chart(settings, error);
     if (s->chart)
         s->entry =
@@ -344,7 +346,7 @@
         evhttp_free(s->http);
     wp_entry_free(s->entry);
     wp_pb_free(s->chart);
-    wp_rollout_monitor_end(&s->watch);
+    wp_rollout_monitor_end(&s->rollout_monitor);
     g_hash_table_unref(s->streams);
     g_free(s);
 }
--- a/io/wp_server.h
+++ b/io/wp_server.h
@@ -1,5 +1,5 @@
-/* The entry daemon's part between HTTP callers and agents: it moves bytes and
- * does what the entry's decisions say. */
+/* The entry daemon's HTTP server: relays requests and answers between callers
+ * and agents, as the entry (wp_entry.h) decides. */
 #ifndef WP_SERVER_H
 #define WP_SERVER_H
 
@@ -8,6 +8,9 @@
 
 typedef struct WPServer WPServer;
 
+/* Creates the server and sets it as the role of `h`; `s` must outlive it.
+   Returns NULL and an error if the chart cannot be read, the entry's settings
+   are invalid or the port cannot be used. */
 WPServer *wp_server_new(WPHost *h, const Wp__EntrySettings *s, GError **error);
 void wp_server_free(WPServer *s);
 
--- a/io/wp_store_apply.c
+++ b/io/wp_store_apply.c
@@ -13,7 +13,7 @@
     snprintf(version, sizeof(version), "%lu", (unsigned long)t->version);
     if (!wp_direct_routes(&h->direct, t))
         return;
-    wp_downstream_set_limits(h->front, &h->direct.routes->limits);
+    wp_downstream_set_limits(h->downstream, &h->direct.routes->limits);
     wp_log(&h->log, WP_INFO, "routes", "version", version, NULL);
 }
 
@@ -74,7 +74,7 @@
                "version", o->version, NULL);
 }
 
-static void apply_outcome(WPSync *s, const WPNews *n)
+static void apply_outcome(WPSync *s, const WPStoreEntry *n)
 {
     WPShifts *shifts = s->host->direct.shifts;
     WPShift *sh = wp_shifts_find(shifts, n->order.service);
@@ -121,41 +121,42 @@
     if (suspect)
         wp_suspect_record_apply(s, suspect, value);
     if (is_lease && s->reports)
-        wp_reports_record(s->reports, value, revision);
+        wp_reports_observe_record(s->reports, value, revision);
     return box || service || record || suspect || is_lease;
 }
 
 static void apply_platform_entry(WPSync *s, const WPKvItem *i, bool lapsed)
 {
-    WPNews n;
-    s->host->platform->news(i, &n);
+    WPStoreEntry n;
+    s->host->platform->decode_store_entry(i, &n);
     switch (n.kind) {
-    case WP_NEWS_NONE:
+    case WP_STORE_ENTRY_IGNORED:
         break;
-    case WP_NEWS_BAD:
-        reject_entry(s, i->key.p, n.listing.id, n.problem);
+    case WP_STORE_ENTRY_INVALID:
+        reject_entry(s, i->key.p, n.endpoint.id, n.problem);
         break;
-    case WP_NEWS_ROUTES:
+    case WP_STORE_ENTRY_ROUTES:
         apply_routes(s, n.routes);
         break;
-    case WP_NEWS_ENDPOINT:
-        apply_endpoint(s, i->key.p, &n.listing);
+    case WP_STORE_ENTRY_ENDPOINT:
+        apply_endpoint(s, i->key.p, &n.endpoint);
         break;
-    case WP_NEWS_GONE:
-        remove_endpoint(s, n.listing.id, lapsed);
+    case WP_STORE_ENTRY_ENDPOINT_REMOVED:
+        remove_endpoint(s, n.endpoint.id, lapsed);
         break;
-    case WP_NEWS_ORDER:
+    case WP_STORE_ENTRY_SHIFT_ORDER:
         apply_order(s, &n.order);
         break;
-    case WP_NEWS_OUTCOME:
+    case WP_STORE_ENTRY_SHIFT_OUTCOME:
         apply_outcome(s, &n);
         break;
-    case WP_NEWS_ZONE_OUT:
-    case WP_NEWS_ZONE_BACK:
-        apply_zone_evacuation(s, n.zone, n.kind == WP_NEWS_ZONE_OUT);
+    case WP_STORE_ENTRY_ZONE_EVACUATED:
+    case WP_STORE_ENTRY_ZONE_EVACUATION_ENDED:
+        apply_zone_evacuation(s, n.zone,
+                              n.kind == WP_STORE_ENTRY_ZONE_EVACUATED);
         break;
     }
-    s->host->platform->news_end(&n);
+    s->host->platform->release_store_entry(&n);
 }
 
 void wp_store_apply(WPSync *s, const char *key, const WPStr *value,
--- a/io/wp_store_writer.c
+++ b/io/wp_store_writer.c
@@ -194,7 +194,7 @@
     const Wp__DirectSettings *set = s->host->settings;
     BoxRecords b = { .sync = s };
     if (now.mono_us < s->box_check_us || !may_write(s, now) || !s->complete ||
-        s->host->leaving)
+        s->host->draining)
         return;
     s->box_check_us =
         now.mono_us +
--- a/io/wp_sync.c
+++ b/io/wp_sync.c
@@ -36,7 +36,7 @@
 };
 
 static void read_all(WPSync *s);
-static void on_event(void *arg, WPKvWatched what, const WPKvItem *item);
+static void on_event(void *arg, WPKvWatchEvent what, const WPKvItem *item);
 
 /* The time for answers of the store, whose callbacks get none: never before
    that of the last tick. */
@@ -153,7 +153,7 @@
     wp_peers_schedule_digest(s->peers);
 }
 
-static void on_event(void *arg, WPKvWatched what, const WPKvItem *item)
+static void on_event(void *arg, WPKvWatchEvent what, const WPKvItem *item)
 {
     WPSync *s = arg;
     switch (what) {
@@ -164,14 +164,14 @@
         wp_mirror_advance(s->mirror, item->mod_revision);
         note_synced(s);
         break;
-    case WP_KV_QUIET:
+    case WP_KV_UNCHANGED:
         on_answer(s);
         note_synced(s);
         break;
-    case WP_KV_BROKEN:
+    case WP_KV_WATCH_LOST:
         on_broken(s);
         break;
-    case WP_KV_FORGOTTEN:
+    case WP_KV_COMPACTED:
         read_after_break(s);
         break;
     }
@@ -226,7 +226,7 @@
     wp_mirror_advance(s->mirror, r->revision);
     note_synced(s);
     s->complete = true;
-    wp_relay_enter_held(s->host);
+    wp_relay_admit_held(s->host);
     wp_peers_schedule_digest(s->peers);
     if (s->watch_broken)
         schedule_rewatch(s, r->revision + 1);
@@ -300,7 +300,7 @@
     *moving = *moving || sh->state == WP_SHIFT_RUNNING;
 }
 
-int64_t wp_sync_list_age_ms(const WPSync *s, WPTime now)
+int64_t wp_sync_registry_age_ms(const WPSync *s, WPTime now)
 {
     return wp_staleness_ms(&s->staleness, now);
 }
@@ -311,7 +311,7 @@
 static bool is_cut_off(const WPSync *s, WPTime now)
 {
     return s->store_tried && !s->store_up &&
-           wp_sync_list_age_ms(s, now) > ISOLATED_AFTER_MS;
+           wp_sync_registry_age_ms(s, now) > ISOLATED_AFTER_MS;
 }
 
 /* Returns whether the store does not answer this box, or only slowly. */
@@ -379,34 +379,34 @@
     update_fleet_boxes(s);
 }
 
-void wp_sync_share(WPSync *s)
+void wp_sync_schedule_zone_updates(WPSync *s)
 {
     wp_zone_updates_schedule(s->zone_updates);
 }
 
-void wp_sync_suspects(WPSync *s)
+void wp_sync_schedule_suspects(WPSync *s)
 {
     if (s->suspect_updates)
         wp_suspect_updates_schedule(s->suspect_updates);
 }
 
-void wp_sync_notices(WPSync *s)
+void wp_sync_schedule_notices(WPSync *s)
 {
     if (s->notice_updates)
         wp_notice_updates_schedule(s->notice_updates);
 }
 
-void wp_sync_tell(WPSync *s)
+void wp_sync_schedule_digest(WPSync *s)
 {
     wp_peers_schedule_digest(s->peers);
 }
 
-const WPTraffic *wp_sync_traffic(const WPSync *s)
+const WPPeerTraffic *wp_sync_traffic(const WPSync *s)
 {
     return wp_peers_traffic(s->peers);
 }
 
-bool wp_sync_reports_usage(const WPSync *s)
+bool wp_sync_holds_report_lease(const WPSync *s)
 {
     return s->reports && wp_reports_is_holder(s->reports);
 }
--- a/io/wp_sync_peers.c
+++ b/io/wp_sync_peers.c
@@ -33,7 +33,7 @@
     wp_staleness_note_synced(&s->staleness, 0,
                              wp_mirror_complete_revision(s->mirror), 0);
     s->complete = true;
-    wp_relay_enter_held(s->host);
+    wp_relay_admit_held(s->host);
     wp_peers_schedule_digest(s->peers);
     wp_log(&s->host->log, WP_INFO, "caught_up", "from", from, NULL);
 }
@@ -53,11 +53,11 @@
            peer, NULL);
     if (up)
         wp_suspects_mark_all_unsent(s->host->direct.suspects);
-    wp_sync_suspects(s);
+    wp_sync_schedule_suspects(s);
     if (s->notice_updates)
         wp_notice_updates_peer_changed(s->notice_updates, peer, up);
     if (s->reports)
-        wp_reports_peer(s->reports);
+        wp_reports_mark_all_unsent(s->reports);
 }
 
 static void on_zone_news(void *arg, const char *from, const Wp__ZoneNews *m)
@@ -86,7 +86,7 @@
 {
     WPSync *s = arg;
     if (s->reports)
-        wp_reports_heard(s->reports, remote_zone, n);
+        wp_reports_merge(s->reports, remote_zone, n);
 }
 
 const WPPeersOps wp_sync_peers_ops = { .delta = on_delta,
--- a/tests/sync_fake.h
+++ b/tests/sync_fake.h
@@ -17,17 +17,17 @@
     char *key; /* of the last value written */
     GByteArray *value;
     uint64_t from; /* of the last watch */
-    WPKvDone range_done, txn_done;
+    WPKvResultFn range_done, txn_done;
     void *range_arg, *txn_arg;
-    WPKvEvent event;
+    WPKvWatchFn event;
     void *event_arg;
 } Store;
 
 /* The one that the box under test has. */
 static Store store;
 
-static void on_range(WPKv *kv, const char *key, const char *end, WPKvDone done,
-                     void *arg)
+static void on_range(WPKv *kv, const char *key, const char *end,
+                     WPKvResultFn done, void *arg)
 {
     Store *s = (Store *)kv;
     (void)key;
@@ -38,7 +38,8 @@
 }
 
 static void on_txn(WPKv *kv, const WPKvCompare *compares, size_t n_compares,
-                   const WPKvOp *ops, size_t n_ops, WPKvDone done, void *arg)
+                   const WPKvOp *ops, size_t n_ops, WPKvResultFn done,
+                   void *arg)
 {
     Store *s = (Store *)kv;
     (void)compares;
@@ -55,7 +56,7 @@
 }
 
 static void on_watch(WPKv *kv, const char *key, uint64_t from, bool look,
-                     WPKvEvent event, void *arg)
+                     WPKvWatchFn event, void *arg)
 {
     Store *s = (Store *)kv;
     (void)key;
@@ -95,31 +96,33 @@
 enum { ORDER_MS = 20000 };
 
 /* Other keys are endpoints' ids, but for the system's own. */
-static void read_news(const WPKvItem *item, WPNews *out)
+static void read_news(const WPKvItem *item, WPStoreEntry *out)
 {
     if (!strcmp(item->key.p, ORDER_KEY)) {
-        *out =
-            (WPNews){ .kind = WP_NEWS_ORDER,
-                      .order = { "llm", "v2", ORDER_MS, item->mod_revision } };
+        *out = (WPStoreEntry){ .kind = WP_STORE_ENTRY_SHIFT_ORDER,
+                               .order = { "llm", "v2", ORDER_MS,
+                                          item->mod_revision } };
         return;
     }
-    *out = (WPNews){ .kind = item->removed ? WP_NEWS_GONE : WP_NEWS_ENDPOINT,
-                     .listing = { .id = item->key.p,
-                                  .service = "llm",
-                                  .addr = "127.0.0.1:1",
-                                  .zone = "z1",
-                                  .version = "v1",
-                                  .slots = 8 } };
+    *out =
+        (WPStoreEntry){ .kind = item->removed ? WP_STORE_ENTRY_ENDPOINT_REMOVED
+                                              : WP_STORE_ENTRY_ENDPOINT,
+                        .endpoint = { .id = item->key.p,
+                                      .service = "llm",
+                                      .addr = "127.0.0.1:1",
+                                      .zone = "z1",
+                                      .version = "v1",
+                                      .slots = 8 } };
 }
 
-static void end_news(WPNews *n)
+static void end_news(WPStoreEntry *n)
 {
     (void)n;
 }
 
 static const WPPlatformOps platform = { .store = open_store,
-                                        .news = read_news,
-                                        .news_end = end_news };
+                                        .decode_store_entry = read_news,
+                                        .release_store_entry = end_news };
 
 typedef struct Site {
     Fake fake;
@@ -179,7 +182,7 @@
     store.range_done(store.range_arg, &r);
 }
 
-static inline void tell(WPKvWatched what, const char *id, uint64_t revision,
+static inline void tell(WPKvWatchEvent what, const char *id, uint64_t revision,
                         bool removed)
 {
     const WPKvItem item = { wp_str(id ? id : ""), wp_str("x"), revision,
--- a/tests/test_log.c
+++ b/tests/test_log.c
@@ -13,7 +13,7 @@
     assert_int_equal(pipe(pipe_fd), 0);
     wp_log_init(l, "e1", "info", "kv");
     l->fd = pipe_fd[1];
-    wp_log_gather(l, rate);
+    wp_log_enable_buffering(l, rate);
 }
 
 static char *read_all(int fd)
--- a/tests/test_news_fuzz.c
+++ b/tests/test_news_fuzz.c
@@ -91,16 +91,16 @@
 }
 
 /* What is taken of an entry is used as the product does. */
-static void use(Fake *k, const WPNews *n)
+static void use(Fake *k, const WPStoreEntry *n)
 {
     switch (n->kind) {
-    case WP_NEWS_ENDPOINT:
-        if (!wp_registry_entry_invalid_field(&n->listing)) {
-            assert_true(n->listing.slots > 0);
-            wp_fleet_put(k->d.fleet, k->now, &n->listing);
+    case WP_STORE_ENTRY_ENDPOINT:
+        if (!wp_registry_entry_invalid_field(&n->endpoint)) {
+            assert_true(n->endpoint.slots > 0);
+            wp_fleet_put(k->d.fleet, k->now, &n->endpoint);
         }
         break;
-    case WP_NEWS_ROUTES:
+    case WP_STORE_ENTRY_ROUTES:
         for (guint i = 0; i < n->routes->routes->len; i++) {
             const WPRoute *r = g_ptr_array_index(n->routes->routes, i);
             for (guint m = 0; m < r->models->len; m++)
@@ -109,14 +109,14 @@
         }
         wp_routes_unref(n->routes);
         break;
-    case WP_NEWS_ORDER:
+    case WP_STORE_ENTRY_SHIFT_ORDER:
         assert_non_null(n->order.version);
         wp_shifts_add_order(k->d.shifts, k->now, &n->order);
         break;
-    case WP_NEWS_OUTCOME:
+    case WP_STORE_ENTRY_SHIFT_OUTCOME:
         wp_shifts_apply_outcome(k->d.shifts, &n->order, n->state);
         break;
-    case WP_NEWS_BAD:
+    case WP_STORE_ENTRY_INVALID:
         assert_non_null(n->problem);
         break;
     default:
@@ -141,9 +141,9 @@
             const WPKvItem item = { wp_str(corpus[c].key),
                                     wp_strn(s->str, s->len), (uint64_t)i + 1,
                                     false };
-            WPNews n;
+            WPStoreEntry n;
             pf_news(&item, &n);
-            taken += n.kind != WP_NEWS_BAD;
+            taken += n.kind != WP_STORE_ENTRY_INVALID;
             use(&k, &n);
             pf_news_end(&n);
         }
--- a/tests/test_peers.c
+++ b/tests/test_peers.c
@@ -424,8 +424,8 @@
     event_add(e, &every);
     assert_true(run_until(&w, &d.reached));
     event_free(e);
-    wp_traffic_each(wp_peers_traffic(a->peers), note_traffic, near);
-    wp_traffic_each(wp_peers_traffic(other->peers), note_traffic, far);
+    wp_peer_traffic_each(wp_peers_traffic(a->peers), note_traffic, near);
+    wp_peer_traffic_each(wp_peers_traffic(other->peers), note_traffic, far);
     assert_non_null(strstr(near->str, "mirror_digest/zone/sent"));
     assert_non_null(strstr(near->str, "hello/far/sent"));
     assert_non_null(strstr(far->str, "mirror_digest/far/sent"));
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -4,10 +4,10 @@
 #include "pf_names.h"
 #include "test.h"
 
-static WPNews news(const char *key, const char *value, uint64_t revision)
+static WPStoreEntry news(const char *key, const char *value, uint64_t revision)
 {
     WPKvItem i = { wp_str(key), wp_str(value), revision, !value };
-    WPNews n;
+    WPStoreEntry n;
     pf_news(&i, &n);
     return n;
 }
@@ -30,9 +30,9 @@
 
 static void a_configuration_is_read_whole(void **state)
 {
-    WPNews n = news(PF_K_CONFIG, config, 4);
+    WPStoreEntry n = news(PF_K_CONFIG, config, 4);
     (void)state;
-    assert_int_equal(n.kind, WP_NEWS_ROUTES);
+    assert_int_equal(n.kind, WP_STORE_ENTRY_ROUTES);
     const WPRoutes *t = n.routes;
     assert_int_equal(t->version, 7);
     assert_true(t->requires_keys);
@@ -59,36 +59,37 @@
 static void endpoints_orders_and_outcomes_are_read(void **state)
 {
     (void)state;
-    WPNews n = news(PF_K_ENDPOINT "i-7",
-                    "{\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":"
-                    "\"z\",\"version\":\"v1\",\"slots\":32,\"state\":"
-                    "\"draining\",\"coldLeftMs\":5,\"callSeq\":1}",
-                    9);
-    assert_int_equal(n.kind, WP_NEWS_ENDPOINT);
-    assert_string_equal(n.listing.id, "i-7");
-    assert_true(n.listing.draining);
-    assert_int_equal(n.listing.cold_left_ms, 5);
+    WPStoreEntry n =
+        news(PF_K_ENDPOINT "i-7",
+             "{\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":"
+             "\"z\",\"version\":\"v1\",\"slots\":32,\"state\":"
+             "\"draining\",\"coldLeftMs\":5,\"callSeq\":1}",
+             9);
+    assert_int_equal(n.kind, WP_STORE_ENTRY_ENDPOINT);
+    assert_string_equal(n.endpoint.id, "i-7");
+    assert_true(n.endpoint.draining);
+    assert_int_equal(n.endpoint.cold_left_ms, 5);
     pf_news_end(&n);
     n = news(PF_K_ENDPOINT "i-7", NULL, 10);
-    assert_int_equal(n.kind, WP_NEWS_GONE);
-    assert_string_equal(n.listing.id, "i-7");
+    assert_int_equal(n.kind, WP_STORE_ENTRY_ENDPOINT_REMOVED);
+    assert_string_equal(n.endpoint.id, "i-7");
     n = news(PF_K_ORDER "s",
              "{\"service\":\"s\",\"targetVersion\":\"v2\",\"durationS\":12}",
              11);
-    assert_int_equal(n.kind, WP_NEWS_ORDER);
+    assert_int_equal(n.kind, WP_STORE_ENTRY_SHIFT_ORDER);
     assert_int_equal(n.order.duration_ms, 12000);
     assert_int_equal(n.order.revision, 11);
     pf_news_end(&n);
     n = news(PF_K_OUTCOME "s",
              "{\"state\":\"rolled_back\",\"targetVersion\":\"v2\"}", 12);
-    assert_int_equal(n.kind, WP_NEWS_OUTCOME);
+    assert_int_equal(n.kind, WP_STORE_ENTRY_SHIFT_OUTCOME);
     assert_int_equal(n.state, WP_SHIFT_ROLLED_BACK);
     pf_news_end(&n);
     n = news(PF_K_CONFIG, "[]", 13);
-    assert_int_equal(n.kind, WP_NEWS_BAD);
+    assert_int_equal(n.kind, WP_STORE_ENTRY_INVALID);
     pf_news_end(&n);
     n = news("something/else", "{}", 14);
-    assert_int_equal(n.kind, WP_NEWS_NONE);
+    assert_int_equal(n.kind, WP_STORE_ENTRY_IGNORED);
 }
 
 #define ENTRY(field)                                                           \
@@ -143,12 +144,13 @@
     };
     (void)state;
     for (size_t i = 0; i < WP_COUNT(rows); i++) {
-        WPNews n = news(rows[i].key, rows[i].value, 3);
-        if (n.kind != WP_NEWS_BAD || strcmp(n.problem, rows[i].problem))
+        WPStoreEntry n = news(rows[i].key, rows[i].value, 3);
+        if (n.kind != WP_STORE_ENTRY_INVALID ||
+            strcmp(n.problem, rows[i].problem))
             fail_msg("%s: %s", rows[i].value, n.problem);
         assert_null(n.routes);
         if (g_str_has_prefix(rows[i].key, PF_K_ENDPOINT))
-            assert_string_equal(n.listing.id, "e");
+            assert_string_equal(n.endpoint.id, "e");
         pf_news_end(&n);
     }
 }
@@ -156,13 +158,14 @@
 static void a_start_is_read_where_it_is_told(void **state)
 {
     (void)state;
-    WPNews n = news(PF_K_ENDPOINT "e", ENTRY("\"born\":1700000000123"), 3);
-    assert_int_equal(n.kind, WP_NEWS_ENDPOINT);
-    assert_int_equal(n.listing.born_ms, 1700000000123);
+    WPStoreEntry n =
+        news(PF_K_ENDPOINT "e", ENTRY("\"born\":1700000000123"), 3);
+    assert_int_equal(n.kind, WP_STORE_ENTRY_ENDPOINT);
+    assert_int_equal(n.endpoint.born_ms, 1700000000123);
     pf_news_end(&n);
     n = news(PF_K_ENDPOINT "e", ENTRY("\"other\":[]"), 3);
-    assert_int_equal(n.kind, WP_NEWS_ENDPOINT);
-    assert_int_equal(n.listing.born_ms, 0);
+    assert_int_equal(n.kind, WP_STORE_ENTRY_ENDPOINT);
+    assert_int_equal(n.endpoint.born_ms, 0);
     pf_news_end(&n);
 }
 
@@ -172,12 +175,12 @@
     static const char *const values[] = { "{}", "", "\xff" };
     (void)state;
     for (size_t i = 0; i < WP_COUNT(values); i++) {
-        WPNews n = news(PF_K_ZONE_OUT "z1", values[i], 3);
-        assert_int_equal(n.kind, WP_NEWS_ZONE_OUT);
+        WPStoreEntry n = news(PF_K_ZONE_OUT "z1", values[i], 3);
+        assert_int_equal(n.kind, WP_STORE_ENTRY_ZONE_EVACUATED);
         assert_string_equal(n.zone, "z1");
     }
-    WPNews n = news(PF_K_ZONE_OUT "z1", NULL, 4);
-    assert_int_equal(n.kind, WP_NEWS_ZONE_BACK);
+    WPStoreEntry n = news(PF_K_ZONE_OUT "z1", NULL, 4);
+    assert_int_equal(n.kind, WP_STORE_ENTRY_ZONE_EVACUATION_ENDED);
     assert_string_equal(n.zone, "z1");
 }
 
@@ -188,7 +191,7 @@
     for (int st = WP_SHIFT_RUNNING; st <= WP_SHIFT_ROLLED_BACK; st++) {
         g_autofree char *key = pf_outcome_key("s");
         g_autofree char *text = pf_outcome_text(&sh, (WPShiftState)st);
-        WPNews n = news(key, text, 3);
+        WPStoreEntry n = news(key, text, 3);
         assert_int_equal(n.state, st);
         assert_string_equal(n.order.version, "v2");
         pf_news_end(&n);
@@ -200,10 +203,10 @@
     return (WPField){ wp_str(name), wp_str(value) };
 }
 
-static char *leg_text(const WPHead *h, const WPLegText *leg)
+static char *leg_text(const WPHead *h, const WPAttemptHeader *leg)
 {
     struct evbuffer *out = evbuffer_new();
-    pf_ops.write_leg(h, leg, out);
+    pf_ops.write_attempt_fields(h, leg, out);
     evbuffer_add(out, "", 1);
     char *text = g_strdup((char *)evbuffer_pullup(out, -1));
     evbuffer_free(out);
@@ -232,15 +235,15 @@
                                field("X-Custom", " as it came"),
                                field("X-Deadline-Ms", "25000") };
     WPHead h = { .fields = fields, .n_fields = WP_COUNT(fields) };
-    WPLegText leg = { .replica = "i-7",
-                      .workspace = "t1",
-                      .model = wp_str("m0"),
-                      .budget_ms = 1234,
-                      .priority = 2 };
+    WPAttemptHeader leg = { .replica_id = "i-7",
+                            .workspace = "t1",
+                            .model = wp_str("m0"),
+                            .budget_ms = 1234,
+                            .priority = 2 };
     WPDirectAsk ask;
     (void)state;
     h.target = wp_str("/x/y?z=1");
-    assert_null(pf_ops.read_ask(&h, &ask));
+    assert_null(pf_ops.parse_request(&h, &ask));
     assert_true(wp_str_eq(ask.key, wp_str("k1")));
     assert_true(wp_str_eq(ask.path, wp_str("/x/y")));
     assert_int_equal(ask.prompt.tokens, 1460);
@@ -265,16 +268,16 @@
     WPHead hb = { .fields = b, .n_fields = 2, .target = wp_str("/") };
     WPDirectAsk x, y;
     (void)state;
-    pf_ops.read_ask(&ha, &x);
-    pf_ops.read_ask(&hb, &y);
+    pf_ops.parse_request(&ha, &x);
+    pf_ops.parse_request(&hb, &y);
     assert_true(wp_prompt_shared_hash(&x.prompt) &&
                 wp_prompt_shared_hash(&x.prompt) ==
                     wp_prompt_shared_hash(&y.prompt));
     ha.n_fields = 1;
-    assert_null(pf_ops.read_ask(&ha, &x));
+    assert_null(pf_ops.parse_request(&ha, &x));
     assert_int_equal(wp_prompt_shared_hash(&x.prompt), 0);
     ha.n_fields = 0;
-    assert_non_null(pf_ops.read_ask(&ha, &x));
+    assert_non_null(pf_ops.parse_request(&ha, &x));
 }
 
 /* A malformed or absurd list of parts changes nothing but what is believed of
@@ -303,7 +306,7 @@
                         field(PF_H_PROMPT, texts[i]) };
         WPHead h = { .fields = f, .n_fields = 3, .target = wp_str("/") };
         WPDirectAsk ask;
-        assert_null(pf_ops.read_ask(&h, &ask));
+        assert_null(pf_ops.parse_request(&h, &ask));
         assert_int_equal(ask.prompt.tokens, 1000);
         assert_true(ask.prompt.n_parts <= WP_PROMPT_PARTS_MAX);
         assert_true(wp_prompt_shared_tokens(&ask.prompt) <= 1000);
--- a/tests/test_reports.c
+++ b/tests/test_reports.c
@@ -46,7 +46,7 @@
     const WPKvResult r = { .ok = true,
                            .succeeded = true,
                            .revision = revision };
-    WPKvDone done = store.txn_done;
+    WPKvResultFn done = store.txn_done;
     store.txn_done = NULL;
     done(store.txn_arg, &r);
 }
--- a/tests/test_sync.c
+++ b/tests/test_sync.c
@@ -9,7 +9,7 @@
     (void)state;
     site_start(&s);
     tell(WP_KV_CHANGED, "s3", 14, false);
-    tell(WP_KV_BROKEN, NULL, 0, false);
+    tell(WP_KV_WATCH_LOST, NULL, 0, false);
     assert_int_equal(store.ranges, 2);
     answer_range(two, 2, 15);
     tell(WP_KV_CHANGED, "s4", 16, false);
@@ -25,7 +25,7 @@
     Site s;
     (void)state;
     site_start(&s);
-    tell(WP_KV_FORGOTTEN, NULL, 0, false);
+    tell(WP_KV_COMPACTED, NULL, 0, false);
     assert_int_equal(store.ranges, 2);
     answer_range(two, 1, 20);
     assert_null(known(&s, "s2"));
@@ -42,14 +42,14 @@
     unsigned calls;
     (void)state;
     site_start(&s);
-    tell(WP_KV_BROKEN, NULL, 0, false);
+    tell(WP_KV_WATCH_LOST, NULL, 0, false);
     store.range_done(store.range_arg, &away);
     calls = store.looks;
     for (int64_t ms = 0; ms < 12000; ms += 50) {
         unsigned had = store.looks;
         tick(&s, ms);
         if (store.looks > had)
-            tell(WP_KV_BROKEN, NULL, 0, false);
+            tell(WP_KV_WATCH_LOST, NULL, 0, false);
     }
     assert_in_range(store.looks - calls, 4, 14);
     assert_int_equal(store.ranges, 2);
@@ -62,7 +62,7 @@
     Site s;
     (void)state;
     site_start(&s);
-    tell(WP_KV_BROKEN, NULL, 0, false);
+    tell(WP_KV_WATCH_LOST, NULL, 0, false);
     store.range_done(store.range_arg, &away);
     tick(&s, 700);
     tell(WP_KV_CHANGED, "s1", 30, true);
