--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
 # workspoint: library, daemons, tools and stand-ins.
 #
-# Switches: CONFIG_ASAN=y builds with sanitizers, CONFIG_DEBUG=y without
+# Options: CONFIG_ASAN=y builds with sanitizers, CONFIG_DEBUG=y without
 # optimisation. `make help` lists the targets.
 
 VERSION := $(shell cat VERSION)
@@ -40,7 +40,7 @@
 
 tests: $(BIN) $(TESTS) $(BUILD)/wpclock.so
 
-# The soak's: a process's time of day.
+# Preloaded by the soak test to change the wall-clock time of a process.
 $(BUILD)/wpclock.so: tests/clock_preload.c
 	@mkdir -p $(BUILD)
 	@$(CC) -std=gnu11 -O2 -Wall -Wextra -Werror -shared -fPIC $< -o $@
@@ -85,7 +85,7 @@
 	@echo "  LD $@"
 	@$(CC) $(CFLAGS) $(sort $(filter %.o,$^)) $(LIB) $(LDLIBS) -o $@
 
-# Installs what is missing; only there does it need to be root.
+# Installs the packages that are missing. Needs root only if there are any.
 deps:
 	@missing=""; for p in $(APT); do \
 	    dpkg -s $$p >/dev/null 2>&1 || missing="$$missing $$p"; done; \
@@ -127,7 +127,8 @@
 format:
 	clang-format -i $(OWN)
 
-# What only platform/ may name: the platform's fields, entries and calls.
+# Header fields, store keys and calls of the platform, which only files in
+# platform/ may name.
 PLATFORM_WORDS := X-(Attempt|Deadline|Model|Token-Count|Prompt|Tenant|Expect|Request-Priority|Hold|Pin|Kv|Replica|Not-Executed|Confidence|Length-Hint)|Server-Limit|Server-Leaving|kv-(range|watch|txn|lease|key)|op/(config|rollout)|rolled_back|apiKeys|trafficSplit|targetVersion
 PLATFORM_LINES := 900
 
@@ -136,9 +137,9 @@
 	found=; for d in $(2); do [ ! -f $$d/$$h ] || found=1; done; \
 	[ "$$found" ] || { echo "$(1)/ may not include $$h (docs/ARCHITECTURE.md)"; exit 1; }; done
 
-# The formatter, the linter, the rule that src/ does no I/O, what each folder
-# may include, and the rules of
-# platform/: nothing outside names the platform's words, and it stays small.
+# Checks the format, runs the linter, and checks that src/ does no I/O, that each
+# folder includes only what it may, that no folder but platform/ has the names of
+# the platform, and that platform/ has at most PLATFORM_LINES lines.
 lint:
 	@clang-format --dry-run -Werror $(OWN)
 	@cppcheck --quiet --std=c11 --enable=warning,portability \
--- a/cmd/ctl.h
+++ b/cmd/ctl.h
@@ -1,4 +1,4 @@
-/* Shared by the parts of wpctl. */
+/* Declarations shared by the source files of wpctl. */
 #ifndef CTL_H
 #define CTL_H
 
@@ -9,25 +9,29 @@
 
 typedef struct Ctl {
     struct event_base *base;
-    WPKv *kv;
-    /* Options. */
+    WPKv *kv; /* the store; NULL: no --store was given */
+    /* Values of the options of the same names; NULL: not given. */
     char *store, *admin, *file, *author, *output, *charts;
     char *traffic, *versions, *effect, *on, *match, **set;
     char *from, *to, *workspace, *kind, *labels, *request;
     gboolean force, wait, remove, version;
     double timeout_s;
-    char **words; /* the command and what follows it */
-    int n_words;
+    char **args; /* the command and its arguments */
+    int n_args;
 } Ctl;
 
-static inline bool ctl_json(const Ctl *c)
+/* Whether -o json was given. */
+static inline bool ctl_wants_json(const Ctl *c)
 {
     return c->output && !strcmp(c->output, "json");
 }
 
-/* All give an exit code. */
+/* Runs one command of wpctl and returns the exit code of the process (EXIT_* in
+   daemon.h). */
 typedef int (*CtlCommand)(Ctl *c);
 
+/* ctl_change.c: commands that change the configuration, or check a rules file.
+ */
 int ctl_check(Ctl *c);
 int ctl_apply(Ctl *c);
 int ctl_label(Ctl *c);
@@ -38,25 +42,34 @@
 int ctl_restore(Ctl *c);
 int ctl_rollout(Ctl *c);
 
+/* ctl_view.c: commands that only read. */
 int ctl_get(Ctl *c);
 int ctl_status(Ctl *c);
 int ctl_timeline(Ctl *c);
 int ctl_why(Ctl *c);
 int ctl_bills(Ctl *c);
 
-/* Calls that wait for their answer. */
-bool ctl_range(Ctl *c, const char *key, const char *end, WPKvResultFn done,
-               void *arg);
+/* Reads the keys of the store from `key` up to, but not including, `end`, or
+   the one key if `end` is NULL, and passes the result to `done`. Waits for the
+   answer. Returns false, after printing an error, if there is none. */
+bool ctl_read_range(Ctl *c, const char *key, const char *end, WPKvResultFn done,
+                    void *arg);
 
-/* The store's configuration; NULL after saying what went wrong. */
-WPConfig *ctl_config(Ctl *c, int *code);
+/* Reads the configuration from the store; free it with wp_config_free().
+   Returns NULL, after printing an error, if the store does not answer. `*code`
+   is set to the exit code that follows from this. */
+WPConfig *ctl_read_config(Ctl *c, int *code);
 
-/* GET of an admin page; NULL when it cannot be had. */
-json_t *ctl_fetch(Ctl *c, const char *target, const char *path);
+/* GETs `path` from the admin port at `target` (host:port) and returns the JSON
+   answer, a new reference. NULL if there is no answer within 2 s, its status is
+   not 200, or it is not valid JSON. */
+json_t *ctl_fetch_json(Ctl *c, const char *target, const char *path);
 
-/* Waits until every box is at `revision`; gives an exit code. */
-int ctl_wait_for(Ctl *c, uint64_t revision);
+/* Waits until every box has applied `revision`, for at most --timeout seconds,
+   and prints the outcome. Returns EXIT_OK or EXIT_UNAVAILABLE. */
+int ctl_wait_for_revision(Ctl *c, uint64_t revision);
 
+/* The present time. */
 WPTime ctl_now(void);
 
 #endif
--- a/cmd/ctl_change.c
+++ b/cmd/ctl_change.c
@@ -1,4 +1,5 @@
-/* wpctl's commands that change the configuration. */
+/* The commands of wpctl that change the configuration, or check a rules file.
+ */
 #include "ctl.h"
 #include "wp_check.h"
 #include "wp_rollout.h"
@@ -6,68 +7,73 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* Operations in one transaction; the service limits them. */
-enum { OPS_MOST = 100 };
+/* Operations in one transaction; the store limits their number. */
+enum { MAX_OPS = 100 };
 
-typedef struct Written {
+/* Result of one wp_change_write(). */
+typedef struct WriteOutcome {
     WPChangeResult result;
     uint64_t revision;
     char *author;
     bool done;
-} Written;
+} WriteOutcome;
 
 static void on_written(void *arg, WPChangeResult result, uint64_t revision,
                        const char *author)
 {
-    Written *w = arg;
+    WriteOutcome *w = arg;
     w->result = result;
     w->revision = revision;
     w->author = g_strdup(author);
     w->done = true;
 }
 
-static int say_conflict(const Ctl *c, uint64_t read, const Written *w)
+static int print_conflict(const Ctl *c, uint64_t base_revision,
+                          const WriteOutcome *w)
 {
-    if (ctl_json(c))
+    if (ctl_wants_json(c))
         printf("{\"conflict\":{\"read\":%lu,\"store\":%lu,\"author\":\"%s\"}}"
                "\n",
-               (unsigned long)read, (unsigned long)w->revision,
+               (unsigned long)base_revision, (unsigned long)w->revision,
                w->author ? w->author : "?");
     else
         fprintf(stderr,
-                "conflict: read revision %lu, the store is at %lu by %s; "
-                "nothing was changed\n",
-                (unsigned long)read, (unsigned long)w->revision,
+                "conflict: the change is based on revision %lu, but the store "
+                "is at revision %lu by %s; nothing was changed\n",
+                (unsigned long)base_revision, (unsigned long)w->revision,
                 w->author ? w->author : "?");
     return EXIT_CONFLICT;
 }
 
-/* Writes at most OPS_MOST operations; `revision` goes up with it. */
-static int write_part(Ctl *c, const GPtrArray *ops, uint64_t *revision)
+/* Writes at most MAX_OPS operations in one transaction, which takes effect only
+   if the store is still at `*revision`. Sets `*revision` to that of the store
+   afterwards and returns an exit code. */
+static int write_batch(Ctl *c, const GPtrArray *ops, uint64_t *revision)
 {
-    Written w = { 0 };
+    WriteOutcome w = { 0 };
     g_autofree char *id = g_uuid_string_random();
     wp_change_write(c->kv, *revision, id, c->author, ops, on_written, &w);
     while (!w.done)
         event_base_loop(c->base, EVLOOP_ONCE);
     int code = EXIT_OK;
     if (w.result == WP_CHANGE_CONFLICT) {
-        code = say_conflict(c, *revision, &w);
+        code = print_conflict(c, *revision, &w);
     } else if (w.result == WP_CHANGE_UNKNOWN) {
         fprintf(stderr,
-                "the store does not answer: whether change %s took "
-                "effect is not known\n",
+                "no answer from the store: change %s may or may not have "
+                "taken effect\n",
                 id);
-        code = EXIT_CONTACT;
+        code = EXIT_UNAVAILABLE;
     }
     *revision = w.revision;
     g_free(w.author);
     return code;
 }
 
-/* Tries the operations on a copy and refuses what would be wrong. */
-static bool checks_out(const Ctl *c, const WPConfig *config,
-                       const GPtrArray *ops)
+/* Applies the operations to a copy of the configuration and prints the problems
+   that the result has. Returns whether they may be written: there are no
+   problems, or --force was given. */
+static bool validate(const Ctl *c, const WPConfig *config, const GPtrArray *ops)
 {
     WPConfig *copy = wp_config_new();
     Wp__Snapshot *s = wp_config_snapshot(config);
@@ -86,12 +92,14 @@
         fprintf(stderr, "%s\n", (char *)problems->pdata[i]);
     bool ok = !problems->len || c->force;
     if (!ok)
-        fprintf(stderr, "refused; --force accepts it all the same\n");
+        fprintf(stderr, "refused; use --force to apply it in spite of this\n");
     g_ptr_array_unref(problems);
     wp_config_free(copy);
     return ok;
 }
 
+/* Validates the operations and writes them, in batches of MAX_OPS. With --wait,
+   waits until every box has applied them. Returns an exit code. */
 static int write_ops(Ctl *c, const WPConfig *config, const GPtrArray *ops)
 {
     uint64_t revision = wp_config_revision(config);
@@ -100,21 +108,21 @@
         printf("nothing to change at revision %lu\n", (unsigned long)revision);
         return EXIT_OK;
     }
-    if (!checks_out(c, config, ops))
+    if (!validate(c, config, ops))
         return EXIT_BAD_INPUT;
-    for (guint at = 0; at < ops->len && code == EXIT_OK; at += OPS_MOST) {
+    for (guint at = 0; at < ops->len && code == EXIT_OK; at += MAX_OPS) {
         g_autoptr(GPtrArray) part = g_ptr_array_new();
-        for (guint i = at; i < MIN(at + OPS_MOST, ops->len); i++)
+        for (guint i = at; i < MIN(at + MAX_OPS, ops->len); i++)
             g_ptr_array_add(part, ops->pdata[i]);
-        code = write_part(c, part, &revision);
+        code = write_batch(c, part, &revision);
     }
     if (code != EXIT_OK)
         return code;
-    if (ctl_json(c))
+    if (ctl_wants_json(c))
         printf("{\"accepted\":%lu}\n", (unsigned long)revision);
     else
         printf("accepted at revision %lu\n", (unsigned long)revision);
-    return c->wait ? ctl_wait_for(c, revision) : EXIT_OK;
+    return c->wait ? ctl_wait_for_revision(c, revision) : EXIT_OK;
 }
 
 static Wp__Rules *read_rules(const char *file, GError **error)
@@ -136,10 +144,10 @@
     GError *error = NULL;
     Wp__Rules *r = read_rules(c->file, &error);
     if (!r)
-        return daemon_fail(error);
+        return daemon_report_error(error);
     WPConfig *none = wp_config_new();
     GPtrArray *ops = wp_rules_to_ops(r);
-    bool ok = checks_out(c, none, ops);
+    bool ok = validate(c, none, ops);
     if (ok)
         printf("%s: ok, %u objects\n", c->file, ops->len);
     wp_ops_free(ops);
@@ -148,9 +156,12 @@
     return ok ? EXIT_OK : EXIT_BAD_INPUT;
 }
 
-/* A file says what a version is, not what became of it: its withdrawal and
-   the time it was added stay as they are unless the file gives them. */
-static void keep_fate(Wp__Version *v, const Wp__Version *old, uint64_t now_ms)
+/* Fills in the fields of `v` that a rules file usually leaves out, because they
+   record what happened to a version: whether and when it was withdrawn, and
+   when it was added. They are taken from `old`, the stored version (NULL: there
+   is none), unless the file gives them. */
+static void keep_version_state(Wp__Version *v, const Wp__Version *old,
+                               uint64_t now_ms)
 {
     if (!v->has_added_ms) {
         v->has_added_ms = 1;
@@ -166,8 +177,10 @@
     }
 }
 
-/* A selector that says the same as before keeps its time of change. */
-static void keep_time(Wp__Selector *s, const Wp__Selector *old, uint64_t now_ms)
+/* Sets the selector's time of change, unless the file gives it: that of `old`,
+   the stored selector (NULL: there is none), if both are equal; else now. */
+static void set_change_time(Wp__Selector *s, const Wp__Selector *old,
+                            uint64_t now_ms)
 {
     if (s->has_changed_ms)
         return;
@@ -179,25 +192,26 @@
         s->changed_ms = now_ms;
 }
 
-static void keep_fates(Wp__Rules *r, const WPConfig *config)
+/* Does this for all selectors and versions of a rules file. */
+static void keep_stored_state(Wp__Rules *r, const WPConfig *config)
 {
     for (size_t i = 0; i < r->n_selectors; i++) {
         g_autofree char *key =
             g_strconcat("selector/", r->selectors[i]->name, NULL);
         const Wp__Object *o = wp_config_get(config, key);
-        keep_time(r->selectors[i], o ? o->selector : NULL,
-                  (uint64_t)ctl_now().wall_ms);
+        set_change_time(r->selectors[i], o ? o->selector : NULL,
+                        (uint64_t)ctl_now().wall_ms);
     }
     for (size_t i = 0; i < r->n_versions; i++) {
         g_autofree char *key =
             g_strconcat("version/", r->versions[i]->name, NULL);
         const Wp__Object *o = wp_config_get(config, key);
-        keep_fate(r->versions[i], o ? o->version : NULL,
-                  (uint64_t)ctl_now().wall_ms);
+        keep_version_state(r->versions[i], o ? o->version : NULL,
+                           (uint64_t)ctl_now().wall_ms);
     }
 }
 
-/* Leaves out what would put the same bytes again. */
+/* Removes the operations that would write a value equal to the stored one. */
 static void drop_unchanged(GPtrArray *ops, const WPConfig *config)
 {
     for (guint i = ops->len; i-- > 0;) {
@@ -219,10 +233,10 @@
     int code;
     Wp__Rules *r = read_rules(c->file, &error);
     if (!r)
-        return daemon_fail(error);
-    WPConfig *config = ctl_config(c, &code);
+        return daemon_report_error(error);
+    WPConfig *config = ctl_read_config(c, &code);
     if (config) {
-        keep_fates(r, config);
+        keep_stored_state(r, config);
         GPtrArray *ops = wp_rules_to_ops(r);
         drop_unchanged(ops, config);
         code = write_ops(c, config, ops);
@@ -233,7 +247,8 @@
     return code;
 }
 
-static int write_one(Ctl *c, const WPConfig *config, Wp__Op *op)
+/* Writes one operation, which is freed. Returns an exit code. */
+static int write_op(Ctl *c, const WPConfig *config, Wp__Op *op)
 {
     GPtrArray *ops = g_ptr_array_new();
     g_ptr_array_add(ops, op);
@@ -248,8 +263,9 @@
     return EXIT_BAD_INPUT;
 }
 
-/* The labels of an object that has them, or NULL. */
-static bool labels_of(Wp__Object *o, Wp__Label ****items, size_t **n)
+/* Sets `*items` and `*n` to the addresses of the object's label array and of
+   its length. Returns false if objects of this kind have no labels. */
+static bool get_labels(Wp__Object *o, Wp__Label ****items, size_t **n)
 {
     switch (o->spec_case) {
     case WP__OBJECT__SPEC_MODEL:
@@ -297,6 +313,8 @@
     (*items)[(*n)++] = new_label(key, value);
 }
 
+/* Applies an argument "KEY=VALUE" (set) or "KEY-" (remove) to the labels.
+   Returns false if it is malformed. */
 static bool edit_label(Wp__Label ***items, size_t *n, const char *word)
 {
     WPStr value = wp_str(word);
@@ -316,40 +334,42 @@
     Wp__Label ***items;
     size_t *n;
     int code;
-    if (c->n_words < 3)
+    if (c->n_args < 3)
         return usage("label KIND/NAME KEY=VALUE KEY- ...");
-    WPConfig *config = ctl_config(c, &code);
+    WPConfig *config = ctl_read_config(c, &code);
     if (!config)
         return code;
-    const Wp__Object *old = wp_config_get(config, c->words[1]);
+    const Wp__Object *old = wp_config_get(config, c->args[1]);
     Wp__Object *o = old ? wp_pb_copy(&old->base) : NULL;
     code = EXIT_BAD_INPUT;
-    if (!o || !labels_of(o, &items, &n)) {
+    if (!o || !get_labels(o, &items, &n)) {
         fprintf(stderr, "%s: no such model, version or workspace\n",
-                c->words[1]);
+                c->args[1]);
         goto done;
     }
-    for (int i = 2; i < c->n_words; i++) {
-        if (!edit_label(items, n, c->words[i])) {
-            fprintf(stderr, "%s: expected KEY=VALUE or KEY-\n", c->words[i]);
+    for (int i = 2; i < c->n_args; i++) {
+        if (!edit_label(items, n, c->args[i])) {
+            fprintf(stderr, "%s: expected KEY=VALUE or KEY-\n", c->args[i]);
             goto done;
         }
     }
-    code = write_one(c, config, wp_op_put(o));
+    code = write_op(c, config, wp_op_put(o));
 done:
     wp_pb_free(o);
     wp_config_free(config);
     return code;
 }
 
+/* Writes the object under the name in the command line, or deletes it if
+   --remove was given. */
 static int put_or_remove(Ctl *c, const char *kind, const Wp__Object *o)
 {
     int code;
-    g_autofree char *key = g_strconcat(kind, "/", c->words[1], NULL);
-    WPConfig *config = ctl_config(c, &code);
+    g_autofree char *key = g_strconcat(kind, "/", c->args[1], NULL);
+    WPConfig *config = ctl_read_config(c, &code);
     if (!config)
         return code;
-    code = write_one(c, config, c->remove ? wp_op_delete(key) : wp_op_put(o));
+    code = write_op(c, config, c->remove ? wp_op_delete(key) : wp_op_put(o));
     wp_config_free(config);
     return code;
 }
@@ -360,12 +380,12 @@
     Wp__Object o = WP__OBJECT__INIT;
     Wp__Label **labels = NULL;
     size_t n = 0;
-    if (c->n_words < 2 || (!c->remove && (!c->on || !c->set)))
+    if (c->n_args < 2 || (!c->remove && (!c->on || !c->set)))
         return usage("rule NAME --on X --match M --set K=V");
     for (char **s = c->set; s && *s; s++)
         if (!edit_label(&labels, &n, *s))
             return usage("rule NAME --on X --match M --set K=V");
-    r.name = c->words[1];
+    r.name = c->args[1];
     r.on = c->on;
     if (c->match)
         r.match = c->match;
@@ -384,9 +404,9 @@
 {
     Wp__Selector s = WP__SELECTOR__INIT;
     Wp__Object o = WP__OBJECT__INIT;
-    if (c->n_words < 2 || (!c->remove && !c->traffic && !c->versions))
+    if (c->n_args < 2 || (!c->remove && !c->traffic && !c->versions))
         return usage("selector NAME --traffic T --versions V [--effect E]");
-    s.name = c->words[1];
+    s.name = c->args[1];
     if (c->traffic)
         s.traffic = c->traffic;
     if (c->versions)
@@ -403,15 +423,15 @@
 int ctl_delete(Ctl *c)
 {
     int code;
-    if (c->n_words < 2)
+    if (c->n_args < 2)
         return usage("delete KIND/NAME");
-    WPConfig *config = ctl_config(c, &code);
+    WPConfig *config = ctl_read_config(c, &code);
     if (!config)
         return code;
-    if (wp_config_get(config, c->words[1])) {
-        code = write_one(c, config, wp_op_delete(c->words[1]));
+    if (wp_config_get(config, c->args[1])) {
+        code = write_op(c, config, wp_op_delete(c->args[1]));
     } else {
-        fprintf(stderr, "%s: not configured\n", c->words[1]);
+        fprintf(stderr, "%s: not configured\n", c->args[1]);
         code = EXIT_BAD_INPUT;
     }
     wp_config_free(config);
@@ -422,18 +442,18 @@
 {
     GError *error = NULL;
     int code;
-    if (c->n_words < 2)
+    if (c->n_args < 2)
         return usage("withdraw VERSION, restore VERSION");
-    WPConfig *config = ctl_config(c, &code);
+    WPConfig *config = ctl_read_config(c, &code);
     if (!config)
         return code;
     GPtrArray *ops =
-        wp_withdraw_ops(config, c->words[1], withdrawn, ctl_now(), &error);
+        wp_withdraw_ops(config, c->args[1], withdrawn, ctl_now(), &error);
     if (ops) {
         code = write_ops(c, config, ops);
         wp_ops_free(ops);
     } else {
-        code = daemon_fail(error);
+        code = daemon_report_error(error);
     }
     wp_config_free(config);
     return code;
@@ -464,16 +484,16 @@
 {
     Wp__Rollout r = WP__ROLLOUT__INIT;
     Wp__Object o = WP__OBJECT__INIT;
-    if (c->n_words < 3 || !c->from || !c->to)
+    if (c->n_args < 3 || !c->from || !c->to)
         return usage("rollout start NAME --from V --to V");
-    r.name = c->words[2];
+    r.name = c->args[2];
     r.from = c->from;
     r.to = c->to;
     r.has_entered_ms = 1;
     r.entered_ms = (uint64_t)ctl_now().wall_ms;
     o.spec_case = WP__OBJECT__SPEC_ROLLOUT;
     o.rollout = &r;
-    return write_one(c, config, wp_op_put(&o));
+    return write_op(c, config, wp_op_put(&o));
 }
 
 static void show_rollout(void *arg, const char *key, const Wp__Object *o)
@@ -482,7 +502,7 @@
     const Wp__Rollout *r = o->rollout;
     if (o->spec_case != WP__OBJECT__SPEC_ROLLOUT)
         return;
-    if (ctl_json(c)) {
+    if (ctl_wants_json(c)) {
         json_t *j = wp_pb_json(&r->base);
         char *text = json_dumps(j, JSON_COMPACT);
         printf("%s\n", text);
@@ -498,13 +518,13 @@
 static int rollout_event(Ctl *c, const WPConfig *config)
 {
     GError *error = NULL;
-    if (c->n_words < 3)
+    if (c->n_args < 3)
         return usage("rollout pause|resume|abort NAME");
     Wp__Chart *chart = load_chart(c, &error);
-    GPtrArray *ops = chart ? wp_rollout_event(chart, config, c->words[2],
-                                              c->words[1], ctl_now(), &error)
+    GPtrArray *ops = chart ? wp_rollout_event(chart, config, c->args[2],
+                                              c->args[1], ctl_now(), &error)
                            : NULL;
-    int code = ops ? write_ops(c, config, ops) : daemon_fail(error);
+    int code = ops ? write_ops(c, config, ops) : daemon_report_error(error);
     if (ops)
         wp_ops_free(ops);
     wp_pb_free(chart);
@@ -514,14 +534,14 @@
 int ctl_rollout(Ctl *c)
 {
     int code;
-    if (c->n_words < 2)
+    if (c->n_args < 2)
         return usage("rollout start|status|pause|resume|abort ...");
-    WPConfig *config = ctl_config(c, &code);
+    WPConfig *config = ctl_read_config(c, &code);
     if (!config)
         return code;
-    if (!strcmp(c->words[1], "start"))
+    if (!strcmp(c->args[1], "start"))
         code = start_rollout(c, config);
-    else if (!strcmp(c->words[1], "status"))
+    else if (!strcmp(c->args[1], "status"))
         wp_config_each(config, show_rollout, c);
     else
         code = rollout_event(c, config);
--- a/cmd/ctl_view.c
+++ b/cmd/ctl_view.c
@@ -1,4 +1,4 @@
-/* wpctl's commands that only look. */
+/* The commands of wpctl that only read. */
 #include "ctl.h"
 #include "wp_bill.h"
 
@@ -19,7 +19,7 @@
     f->done = true;
 }
 
-json_t *ctl_fetch(Ctl *c, const char *target, const char *path)
+json_t *ctl_fetch_json(Ctl *c, const char *target, const char *path)
 {
     Fetch f = { 0 };
     WPHttp *h = wp_http_new(c->base, target, FETCH_TIMEOUT_MS);
@@ -47,8 +47,8 @@
         range->done(range->arg, r);
 }
 
-bool ctl_range(Ctl *c, const char *key, const char *end, WPKvResultFn done,
-               void *arg)
+bool ctl_read_range(Ctl *c, const char *key, const char *end, WPKvResultFn done,
+                    void *arg)
 {
     Range range = { done, arg, false, false };
     if (!c->kv) {
@@ -63,20 +63,20 @@
     return range.ok;
 }
 
-static void take_config(void *arg, const WPKvResult *r)
+static void on_config(void *arg, const WPKvResult *r)
 {
     Wp__Snapshot *s = wp_kv_snapshot(r);
     wp_config_apply_snapshot(arg, s);
     wp_pb_free(s);
 }
 
-WPConfig *ctl_config(Ctl *c, int *code)
+WPConfig *ctl_read_config(Ctl *c, int *code)
 {
     WPConfig *config = wp_config_new();
     *code = EXIT_OK;
-    if (ctl_range(c, WP_KV_CONFIG, WP_KV_CONFIG_END, take_config, config))
+    if (ctl_read_range(c, WP_KV_CONFIG, WP_KV_CONFIG_END, on_config, config))
         return config;
-    *code = EXIT_CONTACT;
+    *code = EXIT_UNAVAILABLE;
     wp_config_free(config);
     return NULL;
 }
@@ -117,11 +117,11 @@
 int ctl_get(Ctl *c)
 {
     int code;
-    WPConfig *config = ctl_config(c, &code);
+    WPConfig *config = ctl_read_config(c, &code);
     if (!config)
         return code;
-    Show s = { c, c->n_words > 1 ? c->words[1] : NULL,
-               ctl_json(c) ? json_array() : NULL };
+    Show s = { c, c->n_args > 1 ? c->args[1] : NULL,
+               ctl_wants_json(c) ? json_array() : NULL };
     wp_config_each(config, show_object, &s);
     if (s.list)
         print_json(json_pack("{s:I,s:o}", "revision",
@@ -133,11 +133,12 @@
     return EXIT_OK;
 }
 
-/* Admin ports of every live box, found through one of them. */
-static GPtrArray *admins(Ctl *c)
+/* Admin ports (host:port) of all boxes that are not gone, as the box at --admin
+   knows them. Empty, after printing an error, if that box does not answer. */
+static GPtrArray *list_admin_ports(Ctl *c)
 {
     GPtrArray *out = g_ptr_array_new_with_free_func(g_free);
-    json_t *boxes = c->admin ? ctl_fetch(c, c->admin, "/v1/boxes") : NULL;
+    json_t *boxes = c->admin ? ctl_fetch_json(c, c->admin, "/v1/boxes") : NULL;
     json_t *box;
     size_t i;
     if (!boxes)
@@ -155,12 +156,14 @@
     return out;
 }
 
-static json_t *statuses(Ctl *c)
+/* The status of every box, as an array. A box that does not answer is listed
+   with `lost` and revision 0. */
+static json_t *fetch_statuses(Ctl *c)
 {
-    g_autoptr(GPtrArray) list = admins(c);
+    g_autoptr(GPtrArray) list = list_admin_ports(c);
     json_t *out = json_array();
     for (guint i = 0; i < list->len; i++) {
-        json_t *s = ctl_fetch(c, list->pdata[i], "/v1/status");
+        json_t *s = ctl_fetch_json(c, list->pdata[i], "/v1/status");
         if (!s)
             s = json_pack("{s:s,s:b,s:i}", "id", list->pdata[i], "lost", true,
                           "revision", 0);
@@ -169,18 +172,19 @@
     return out;
 }
 
-static uint64_t revision_of(const json_t *status)
+static uint64_t status_revision(const json_t *status)
 {
     return (uint64_t)json_integer_value(json_object_get(status, "revision"));
 }
 
-static unsigned behind(const json_t *list, uint64_t revision)
+/* Number of boxes whose configuration is older than `revision`. */
+static unsigned count_behind(const json_t *list, uint64_t revision)
 {
     json_t *s;
     size_t i;
     unsigned n = 0;
     json_array_foreach (list, i, s)
-        n += revision_of(s) < revision;
+        n += status_revision(s) < revision;
     return n;
 }
 
@@ -198,8 +202,8 @@
                "waiting %d\n",
                id, json_string_value(json_object_get(s, "role")),
                json_string_value(json_object_get(s, "zone")),
-               (unsigned long)revision_of(s),
-               revision_of(s) < revision ? "BEHIND " : "",
+               (unsigned long)status_revision(s),
+               status_revision(s) < revision ? "BEHIND " : "",
                json_is_true(json_object_get(s, "leaving")) ? "leaving " : "",
                json_is_true(json_object_get(s, "ready")) ? "ready"
                                                          : "not ready",
@@ -208,27 +212,27 @@
     }
 }
 
-int ctl_wait_for(Ctl *c, uint64_t revision)
+int ctl_wait_for_revision(Ctl *c, uint64_t revision)
 {
     int64_t start = ctl_now().mono_us;
     int64_t limit = (int64_t)(c->timeout_s * WP_US_PER_S);
     for (;;) {
-        json_t *list = statuses(c);
-        unsigned n = behind(list, revision);
+        json_t *list = fetch_statuses(c);
+        unsigned n = count_behind(list, revision);
         size_t total = json_array_size(list);
         int64_t took = ctl_now().mono_us - start;
         if (total && !n) {
-            printf("in force at all %zu boxes after %.2f s\n", total,
+            printf("active on all %zu boxes after %.2f s\n", total,
                    (double)took / WP_US_PER_S);
             json_decref(list);
             return EXIT_OK;
         }
         if (took > limit) {
             print_status(list, revision);
-            fprintf(stderr, "not in force at %u of %zu boxes after %.1f s\n", n,
+            fprintf(stderr, "not active on %u of %zu boxes after %.1f s\n", n,
                     total, c->timeout_s);
             json_decref(list);
-            return EXIT_CONTACT;
+            return EXIT_UNAVAILABLE;
         }
         json_decref(list);
         struct timeval pause = { 0, POLL_MS * WP_US_PER_MS };
@@ -237,7 +241,7 @@
     }
 }
 
-static void take_head(void *arg, const WPKvResult *r)
+static void on_head(void *arg, const WPKvResult *r)
 {
     if (r->n_items)
         *(uint64_t *)arg = r->items[0].mod_revision;
@@ -247,13 +251,13 @@
 {
     uint64_t revision = 0;
     if (c->kv)
-        ctl_range(c, WP_KV_HEAD, NULL, take_head, &revision);
+        ctl_read_range(c, WP_KV_HEAD, NULL, on_head, &revision);
     if (c->wait)
-        return ctl_wait_for(c, revision);
-    json_t *list = statuses(c);
-    unsigned n = behind(list, revision);
+        return ctl_wait_for_revision(c, revision);
+    json_t *list = fetch_statuses(c);
+    unsigned n = count_behind(list, revision);
     size_t total = json_array_size(list);
-    if (ctl_json(c)) {
+    if (ctl_wants_json(c)) {
         print_json(json_pack("{s:I,s:O}", "revision", (json_int_t)revision,
                              "boxes", list));
     } else {
@@ -262,7 +266,7 @@
                (unsigned long)revision, total, n);
     }
     json_decref(list);
-    return total && !n ? EXIT_OK : EXIT_CONTACT;
+    return total && !n ? EXIT_OK : EXIT_UNAVAILABLE;
 }
 
 static int by_clock(const void *a, const void *b)
@@ -289,7 +293,7 @@
 
 int ctl_timeline(Ctl *c)
 {
-    g_autoptr(GPtrArray) list = admins(c);
+    g_autoptr(GPtrArray) list = list_admin_ports(c);
     g_autoptr(GPtrArray) events = g_ptr_array_new();
     json_t *all = json_array(), *e;
     size_t i;
@@ -297,7 +301,7 @@
         c->request ? g_strconcat("/v1/timeline?request=", c->request, NULL)
                    : g_strdup("/v1/timeline");
     for (guint k = 0; k < list->len; k++) {
-        json_t *one = ctl_fetch(c, list->pdata[k], path);
+        json_t *one = ctl_fetch_json(c, list->pdata[k], path);
         if (one)
             json_array_extend(all, one);
         json_decref(one);
@@ -308,17 +312,17 @@
         qsort(events->pdata, events->len, sizeof(gpointer), by_clock);
     json_t *sorted = json_array();
     for (guint k = 0; k < events->len; k++) {
-        if (ctl_json(c))
+        if (ctl_wants_json(c))
             json_array_append(sorted, events->pdata[k]);
         else
             print_event(events->pdata[k]);
     }
-    if (ctl_json(c))
+    if (ctl_wants_json(c))
         print_json(sorted);
     else
         json_decref(sorted);
     json_decref(all);
-    return list->len ? EXIT_OK : EXIT_CONTACT;
+    return list->len ? EXIT_OK : EXIT_UNAVAILABLE;
 }
 
 int ctl_why(Ctl *c)
@@ -333,13 +337,15 @@
     g_autofree char *path =
         g_strdup_printf("/v1/why?workspace=%s&kind=%s%s%s", c->workspace,
                         c->kind, c->labels ? "&labels=" : "", labels);
-    json_t *lines = ctl_fetch(c, c->admin, path), *line;
+    json_t *lines = ctl_fetch_json(c, c->admin, path), *line;
     size_t i;
     if (!lines) {
-        fprintf(stderr, "why: no such workspace or kind, or not an entry\n");
+        fprintf(stderr,
+                "why: no such workspace or kind, or --admin is not that of "
+                "an entry\n");
         return EXIT_BAD_INPUT;
     }
-    if (ctl_json(c)) {
+    if (ctl_wants_json(c)) {
         print_json(lines);
         return EXIT_OK;
     }
@@ -349,7 +355,7 @@
     return EXIT_OK;
 }
 
-static void take_batches(void *arg, const WPKvResult *r)
+static void on_bill_batches(void *arg, const WPKvResult *r)
 {
     WPCharges *charges = arg;
     for (size_t i = 0; i < r->n_items; i++) {
@@ -362,11 +368,12 @@
 }
 
 typedef struct Sums {
-    json_t *by_use; /* "workspace version" -> {requests, prompt, answer} */
-    json_t *charges;
+    /* "workspace version" -> {requests, prompt_tokens, answer_tokens} */
+    json_t *by_version;
+    json_t *charges; /* array, one object per charge */
 } Sums;
 
-static void bump(json_t *o, const char *name, json_int_t by)
+static void add_to(json_t *o, const char *name, json_int_t by)
 {
     json_t *v = json_object_get(o, name);
     json_integer_set(v, json_integer_value(v) + by);
@@ -377,15 +384,15 @@
     Sums *s = arg;
     g_autofree char *key =
         g_strdup_printf("%s %s", c->bill->workspace, c->bill->version);
-    json_t *sum = json_object_get(s->by_use, key);
+    json_t *sum = json_object_get(s->by_version, key);
     if (!sum) {
         sum = json_pack("{s:i,s:i,s:i}", "requests", 0, "prompt_tokens", 0,
                         "answer_tokens", 0);
-        json_object_set_new(s->by_use, key, sum);
+        json_object_set_new(s->by_version, key, sum);
     }
-    bump(sum, "requests", 1);
-    bump(sum, "prompt_tokens", c->bill->prompt_tokens);
-    bump(sum, "answer_tokens", c->bill->answer_tokens);
+    add_to(sum, "requests", 1);
+    add_to(sum, "prompt_tokens", c->bill->prompt_tokens);
+    add_to(sum, "answer_tokens", c->bill->answer_tokens);
     json_array_append_new(
         s->charges, json_pack("{s:s,s:i,s:s,s:s,s:i,s:b,s:i}", "request_id",
                               c->request_id, "step", (int)c->step, "version",
@@ -400,21 +407,22 @@
     Sums s = { json_object(), json_array() };
     const char *key;
     json_t *sum;
-    bool ok = ctl_range(c, WP_BILL_PREFIX, "/wp/bills0", take_batches, charges);
+    bool ok = ctl_read_range(c, WP_BILL_PREFIX, "/wp/bills0", on_bill_batches,
+                             charges);
     wp_charges_each(charges, add_charge, &s);
     wp_charges_free(charges);
-    if (ctl_json(c)) {
+    if (ctl_wants_json(c)) {
         print_json(
-            json_pack("{s:O,s:O}", "sums", s.by_use, "charges", s.charges));
+            json_pack("{s:O,s:O}", "sums", s.by_version, "charges", s.charges));
     } else {
-        json_object_foreach (s.by_use, key, sum)
+        json_object_foreach (s.by_version, key, sum)
             printf(
                 "%-40s requests %-6d prompt %-8d answer %d\n", key,
                 (int)json_integer_value(json_object_get(sum, "requests")),
                 (int)json_integer_value(json_object_get(sum, "prompt_tokens")),
                 (int)json_integer_value(json_object_get(sum, "answer_tokens")));
     }
-    json_decref(s.by_use);
+    json_decref(s.by_version);
     json_decref(s.charges);
-    return ok ? EXIT_OK : EXIT_CONTACT;
+    return ok ? EXIT_OK : EXIT_UNAVAILABLE;
 }
--- a/cmd/daemon.c
+++ b/cmd/daemon.c
@@ -1,9 +1,9 @@
-/* Options and settings of the daemons. */
+/* Command line options and settings files of the daemons. */
 #include "daemon.h"
 
 #include <stdio.h>
 
-int daemon_fail(GError *error)
+int daemon_report_error(GError *error)
 {
     if (error)
         fprintf(stderr, "%s\n", error->message);
@@ -11,24 +11,24 @@
     return EXIT_BAD_INPUT;
 }
 
-static void *load(const char *file, const ProtobufCMessageDescriptor *shape,
+static void *load(const char *file, const ProtobufCMessageDescriptor *type,
                   GError **error)
 {
     g_autofree char *text = NULL;
     gsize n;
     if (!g_file_get_contents(file, &text, &n, error))
         return NULL;
-    return wp_settings_read(shape, wp_strn(text, n), file, error);
+    return wp_settings_read(type, wp_strn(text, n), file, error);
 }
 
-void *daemon_settings(int argc, char **argv, const char *summary,
-                      const ProtobufCMessageDescriptor *shape, char **from,
-                      int *code)
+void *daemon_load_settings(int argc, char **argv, const char *summary,
+                           const ProtobufCMessageDescriptor *type,
+                           char **file_used, int *code)
 {
     g_autofree char *file = NULL;
     gboolean check = FALSE, version = FALSE;
     GError *error = NULL;
-    g_autofree char *fields = wp_settings_help(shape);
+    g_autofree char *fields = wp_settings_help(type);
     g_autofree char *about =
         g_strconcat("Settings (docs/OPERATIONS.md has units and defaults):\n",
                     fields, NULL);
@@ -45,7 +45,7 @@
     g_option_context_add_main_entries(c, options, NULL);
     *code = EXIT_BAD_INPUT;
     if (!g_option_context_parse(c, &argc, &argv, &error)) {
-        daemon_fail(error);
+        daemon_report_error(error);
         return NULL;
     }
     if (version) {
@@ -60,9 +60,9 @@
                         "see --help\n");
         return NULL;
     }
-    void *settings = load(file, shape, &error);
+    void *settings = load(file, type, &error);
     if (!settings) {
-        daemon_fail(error);
+        daemon_report_error(error);
         return NULL;
     }
     if (check) {
@@ -71,7 +71,7 @@
         *code = EXIT_OK;
         return NULL;
     }
-    if (from)
-        *from = g_steal_pointer(&file);
+    if (file_used)
+        *file_used = g_steal_pointer(&file);
     return settings;
 }
--- a/cmd/daemon.h
+++ b/cmd/daemon.h
@@ -1,20 +1,31 @@
-/* What the daemons' mains share: options and settings. */
+/* Command line options, settings and exit codes of the programs. */
 #ifndef DAEMON_H
 #define DAEMON_H
 
 #include "wp_settings.h"
 
-/* Reads --config (or the variable WORKSPOINT_SETTINGS), --check and
-   --version. Returns the settings, or NULL with
-   the exit code in `code`. `from`, unless NULL, is set to the file's name; free
-   it with g_free(). */
-void *daemon_settings(int argc, char **argv, const char *summary,
-                      const ProtobufCMessageDescriptor *shape, char **from,
-                      int *code);
+/* Parses the options of a daemon and reads its settings file, which is named by
+   --config or the environment variable WORKSPOINT_SETTINGS. `summary` is shown
+   by --help. `type` is the protobuf type of the settings.
 
-/* Prints the error, if there is one, and frees it; returns the exit code. */
-int daemon_fail(GError *error);
+   Returns the settings, to be freed with wp_pb_free(). Returns NULL if the
+   process is to exit with `*code`: after --check and --version, or after an
+   error, which has been printed. Unless `file_used` is NULL, it is set to the
+   name of the settings file, to be freed with g_free(). */
+void *daemon_load_settings(int argc, char **argv, const char *summary,
+                           const ProtobufCMessageDescriptor *type,
+                           char **file_used, int *code);
 
-enum { EXIT_OK = 0, EXIT_BAD_INPUT = 2, EXIT_CONFLICT = 3, EXIT_CONTACT = 4 };
+/* Prints the error on stderr and frees it, unless it is NULL. Returns
+   EXIT_BAD_INPUT. */
+int daemon_report_error(GError *error);
+
+enum {
+    EXIT_OK = 0,
+    EXIT_BAD_INPUT = 2,
+    EXIT_CONFLICT = 3,   /* the store has a newer change by somebody else */
+    EXIT_UNAVAILABLE = 4 /* the store or a box does not answer, or a change is
+                            not active on every box yet */
+};
 
 #endif
--- a/cmd/wpagent.c
+++ b/cmd/wpagent.c
@@ -1,4 +1,4 @@
-/* wpagent: the last gate before one endpoint, in the slot beside it. */
+/* wpagent: the sidecar of one endpoint. Admits requests and runs them there. */
 #include "daemon.h"
 #include "wp_runner.h"
 
@@ -6,9 +6,9 @@
 {
     GError *error = NULL;
     int code;
-    Wp__AgentSettings *s =
-        daemon_settings(argc, argv, "Runs requests at the endpoint beside it.",
-                        &wp__agent_settings__descriptor, NULL, &code);
+    Wp__AgentSettings *s = daemon_load_settings(
+        argc, argv, "Sidecar of one endpoint: admits and runs requests.",
+        &wp__agent_settings__descriptor, NULL, &code);
     if (!s)
         return code;
     WPRunner *runner = NULL;
@@ -18,7 +18,7 @@
         runner = wp_runner_new(h, s, &error);
     if (runner)
         wp_host_run(h);
-    code = runner ? EXIT_OK : daemon_fail(error);
+    code = runner ? EXIT_OK : daemon_report_error(error);
     wp_runner_free(runner);
     wp_host_free(h);
     wp_pb_free(s);
--- a/cmd/wpctl.c
+++ b/cmd/wpctl.c
@@ -1,4 +1,4 @@
-/* wpctl: the operators' tool. */
+/* wpctl: command line tool of the operators. */
 #include "ctl.h"
 #include "wp_clock.h"
 
@@ -11,7 +11,7 @@
     CtlCommand run;
 } commands[] = {
     { "check", "check -f FILE: check a rules file", ctl_check },
-    { "apply", "apply -f FILE [--force] [--wait]: put a rules file in force",
+    { "apply", "apply -f FILE [--force] [--wait]: apply a rules file",
       ctl_apply },
     { "get", "get [KIND[/NAME]]: show the configuration", ctl_get },
     { "label", "label KIND/NAME KEY=VALUE KEY-...: set or remove labels",
@@ -21,16 +21,18 @@
       "selector NAME --traffic T --versions V [--effect E], or --remove",
       ctl_selector },
     { "delete", "delete KIND/NAME", ctl_delete },
-    { "withdraw", "withdraw VERSION: no new request", ctl_withdraw },
-    { "restore", "restore VERSION: serve again", ctl_restore },
+    { "withdraw", "withdraw VERSION: send it no new requests", ctl_withdraw },
+    { "restore", "restore VERSION: undo a withdrawal", ctl_restore },
     { "rollout",
       "rollout start NAME --from V --to V | status | pause NAME | resume "
       "NAME | abort NAME",
       ctl_rollout },
-    { "status", "status [--wait]: every box, and who is behind", ctl_status },
+    { "status", "status [--wait]: status of every box", ctl_status },
     { "timeline", "timeline [--request ID]: events of all processes",
       ctl_timeline },
-    { "why", "why --workspace W --kind K [--labels L]: how it would be chosen",
+    { "why",
+      "why --workspace W --kind K [--labels L]: explain the choice of a "
+      "version",
       ctl_why },
     { "bills", "bills: charges by workspace and version", ctl_bills },
 };
@@ -40,10 +42,11 @@
     GString *s = g_string_new("Commands:\n");
     for (size_t i = 0; i < WP_COUNT(commands); i++)
         g_string_append_printf(s, "  %s\n", commands[i].usage);
-    g_string_append(s, "\nExit codes: 0 done, 2 bad input, 3 conflict with "
-                       "another change, 4 no contact or not yet in force.\n"
-                       "The store and an admin port are also taken from "
-                       "WP_STORE and WP_ADMIN.\n");
+    g_string_append(s,
+                    "\nExit codes: 0 done, 2 bad input, 3 conflict with "
+                    "another change, 4 no answer or not active on every box.\n"
+                    "Defaults of --store and --admin are taken from WP_STORE "
+                    "and WP_ADMIN.\n");
     return g_string_free(s, FALSE);
 }
 
@@ -55,13 +58,13 @@
 static int run(Ctl *c)
 {
     for (size_t i = 0; i < WP_COUNT(commands); i++)
-        if (!strcmp(commands[i].name, c->words[0]))
+        if (!strcmp(commands[i].name, c->args[0]))
             return commands[i].run(c);
-    fprintf(stderr, "wpctl: unknown command '%s'; see --help\n", c->words[0]);
+    fprintf(stderr, "wpctl: unknown command '%s'; see --help\n", c->args[0]);
     return EXIT_BAD_INPUT;
 }
 
-static int with_store(Ctl *c)
+static int run_with_store(Ctl *c)
 {
     char *targets[] = { c->store };
     c->base = event_base_new();
@@ -76,13 +79,13 @@
 
 static void free_options(Ctl *c)
 {
-    char *texts[] = { c->store,  c->admin,     c->file,    c->author,
-                      c->output, c->charts,    c->traffic, c->versions,
-                      c->effect, c->on,        c->match,   c->from,
-                      c->to,     c->workspace, c->kind,    c->labels,
-                      c->request };
-    for (size_t i = 0; i < WP_COUNT(texts); i++)
-        g_free(texts[i]);
+    char *strings[] = { c->store,  c->admin,     c->file,    c->author,
+                        c->output, c->charts,    c->traffic, c->versions,
+                        c->effect, c->on,        c->match,   c->from,
+                        c->to,     c->workspace, c->kind,    c->labels,
+                        c->request };
+    for (size_t i = 0; i < WP_COUNT(strings); i++)
+        g_free(strings[i]);
     g_strfreev(c->set);
 }
 
@@ -101,13 +104,13 @@
         { "output", 'o', 0, G_OPTION_ARG_STRING, &c.output, "text or json",
           "FORM" },
         { "author", 0, 0, G_OPTION_ARG_STRING, &c.author,
-          "who makes the change", "NAME" },
+          "author recorded with the change", "NAME" },
         { "force", 0, 0, G_OPTION_ARG_NONE, &c.force,
-          "accept what check warns of", NULL },
+          "apply a change that fails the check", NULL },
         { "wait", 'w', 0, G_OPTION_ARG_NONE, &c.wait,
-          "until it is in force everywhere", NULL },
+          "wait until the change is active on every box", NULL },
         { "timeout", 't', 0, G_OPTION_ARG_DOUBLE, &c.timeout_s,
-          "of --wait, in seconds", "S" },
+          "time limit of --wait, in seconds", "S" },
         { "remove", 0, 0, G_OPTION_ARG_NONE, &c.remove, "remove the object",
           NULL },
         { "traffic", 0, 0, G_OPTION_ARG_STRING, &c.traffic,
@@ -119,7 +122,7 @@
         { "on", 0, 0, G_OPTION_ARG_STRING, &c.on,
           "model, version, workspace or request", "X" },
         { "match", 0, 0, G_OPTION_ARG_STRING, &c.match,
-          "selector of what gets the labels", "SEL" },
+          "selector of the objects to label", "SEL" },
         { "set", 0, 0, G_OPTION_ARG_STRING_ARRAY, &c.set, "label to set",
           "K=V" },
         { "from", 0, 0, G_OPTION_ARG_STRING, &c.from, "old version", "V" },
@@ -132,17 +135,18 @@
         { "request", 0, 0, G_OPTION_ARG_STRING, &c.request, "request id",
           "ID" },
         { "charts", 0, 0, G_OPTION_ARG_FILENAME, &c.charts,
-          "folder of state charts", "DIR" },
+          "directory of state charts", "DIR" },
         { "version", 0, 0, G_OPTION_ARG_NONE, &c.version, "print the version",
           NULL },
         { NULL, 0, 0, 0, NULL, NULL, NULL }
     };
     g_autoptr(GOptionContext) context = g_option_context_new("COMMAND ...");
-    g_option_context_set_summary(context, "Changes and shows what is routed.");
+    g_option_context_set_summary(
+        context, "Shows and changes the routing configuration.");
     g_option_context_set_description(context, about);
     g_option_context_add_main_entries(context, options, NULL);
     if (!g_option_context_parse(context, &argc, &argv, &error))
-        return daemon_fail(error);
+        return daemon_report_error(error);
     if (c.version) {
         printf("%s\n", WP_VERSION);
         return EXIT_OK;
@@ -157,9 +161,9 @@
         c.admin = g_strdup(g_getenv("WP_ADMIN"));
     if (!c.author)
         c.author = g_strdup(g_get_user_name());
-    c.words = argv + 1;
-    c.n_words = argc - 1;
-    int code = with_store(&c);
+    c.args = argv + 1;
+    c.n_args = argc - 1;
+    int code = run_with_store(&c);
     free_options(&c);
     return code;
 }
--- a/cmd/wpentry.c
+++ b/cmd/wpentry.c
@@ -1,4 +1,4 @@
-/* wpentry: takes callers' requests on an entry box. */
+/* wpentry: accepts callers' requests and routes them to agents. */
 #include "daemon.h"
 #include "wp_server.h"
 
@@ -7,8 +7,8 @@
     GError *error = NULL;
     int code;
     Wp__EntrySettings *s =
-        daemon_settings(argc, argv, "Routes callers' requests to agents.",
-                        &wp__entry_settings__descriptor, NULL, &code);
+        daemon_load_settings(argc, argv, "Routes callers' requests to agents.",
+                             &wp__entry_settings__descriptor, NULL, &code);
     if (!s)
         return code;
     WPServer *server = NULL;
@@ -17,7 +17,7 @@
         server = wp_server_new(h, s, &error);
     if (server)
         wp_host_run(h);
-    code = server ? EXIT_OK : daemon_fail(error);
+    code = server ? EXIT_OK : daemon_report_error(error);
     wp_server_free(server);
     wp_host_free(h);
     wp_pb_free(s);
--- a/standins/replica.c
+++ b/standins/replica.c
@@ -120,7 +120,7 @@
         evhttp_add_header(h, PF_H_NOT_RUN, "1");
         return;
     }
-    evhttp_add_header(h, PF_H_MARK, p->id);
+    evhttp_add_header(h, PF_H_SEAL, p->id);
     evhttp_add_header(h, PF_H_CONFIDENCE, confidence);
 }
 
--- a/standins/stand.c
+++ b/standins/stand.c
@@ -67,7 +67,7 @@
 int main(int argc, char **argv)
 {
     int code;
-    Wp__StandSettings *s = daemon_settings(
+    Wp__StandSettings *s = daemon_load_settings(
         argc, argv, "Stands in for one of the platform's services.",
         &wp__stand_settings__descriptor, NULL, &code);
     if (!s)
--- a/tests/run-all.sh
+++ b/tests/run-all.sh
@@ -1,18 +1,19 @@
 #!/bin/sh
-# Runs the focused tests, then (unless told "unit") every scenario, and ends
-# with "N passed, N failed".
+# Runs the unit tests and then, unless the argument is "unit", the soak tests
+# and all scenarios. The last line printed is "N passed, N failed".
 cd "$(dirname "$0")/.." || exit 2
 BUILD=${BUILD:-build}
 passed=0
 failed=0
-# What KNOWN-RED.txt lists passes, and is told: a line there begins with the
-# program's name, or with "soak NAME seed N".
+# Succeeds if KNOWN-RED.txt lists the test as a known failure, and prints its
+# line. A line there begins with the program's name, or with "soak NAME seed N".
 is_known()
 {
     grep -q "^$1[:, ]" KNOWN-RED.txt || return 1
     echo "known red: $(grep "^$1[:, ]" KNOWN-RED.txt)"
 }
-# soak NAME "OPTIONS" FILE [WAYS]: the seeds that FILE lists, so many at a time.
+# soak NAME "OPTIONS" FILE [WAYS]: runs the soak test with each seed that FILE
+# lists, in WAYS parallel processes (default: 1).
 soak()
 {
     ways=${4:-1}
--- a/tests/run-scenarios.sh
+++ b/tests/run-scenarios.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Runs every scenario, some at a time, and sums up; passes over those in
-# KNOWN-RED.txt and prints them. Usage: run-scenarios.sh
-# [PARALLEL] [FILE...]
+# Runs the scenarios, PARALLEL at a time, and prints the number of passed and
+# failed ones. Scenarios in KNOWN-RED.txt are run and printed but not counted.
+# Usage: run-scenarios.sh [PARALLEL] [FILE...]
 cd "$(dirname "$0")/.." || exit 2
 jobs=${1:-4}
 [ $# -gt 0 ] && shift
@@ -15,11 +15,12 @@
     n=$(basename "$f" .yaml)
     grep '^    ' "$out/$n"
     if [ "$(cat "$out/$n.code")" != 0 ]; then
-        # All of it, also of a known red one: a failure may not come again.
+        # Prints the complete output, also of a known failure, because the
+        # failure may not be reproducible.
         sed "s/^/$n| /" "$out/$n"
     fi
     if grep -q "^$n:" KNOWN-RED.txt 2>/dev/null; then
-        # Runs and is shown, but its verdict does not count either way.
+        # A known failure is not counted, whether it passed or failed.
         echo "RED  $n (known; exit $(cat "$out/$n.code")): $(sed -n "s/^$n: //p" KNOWN-RED.txt)"
     elif [ "$(cat "$out/$n.code")" = 0 ]; then
         passed=$((passed + 1))
--- a/tests/test_news_fuzz.c
+++ b/tests/test_news_fuzz.c
@@ -142,10 +142,10 @@
                                     wp_strn(s->str, s->len), (uint64_t)i + 1,
                                     false };
             WPStoreEntry n;
-            pf_news(&item, &n);
+            pf_decode_store_entry(&item, &n);
             taken += n.kind != WP_STORE_ENTRY_INVALID;
             use(&k, &n);
-            pf_news_end(&n);
+            pf_release_store_entry(&n);
         }
         assert_true(taken > 0 && (long)taken < most);
     }
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -8,7 +8,7 @@
 {
     WPKvItem i = { wp_str(key), wp_str(value), revision, !value };
     WPStoreEntry n;
-    pf_news(&i, &n);
+    pf_decode_store_entry(&i, &n);
     return n;
 }
 
@@ -53,7 +53,7 @@
     assert_float_equal(wp_service_cost(wp_routes_service(t, "llm"), "m0"),
                        0.013, 1e-9);
     wp_routes_unref(n.routes);
-    pf_news_end(&n);
+    pf_release_store_entry(&n);
 }
 
 static void endpoints_orders_and_outcomes_are_read(void **state)
@@ -69,7 +69,7 @@
     assert_string_equal(n.endpoint.id, "i-7");
     assert_true(n.endpoint.draining);
     assert_int_equal(n.endpoint.cold_left_ms, 5);
-    pf_news_end(&n);
+    pf_release_store_entry(&n);
     n = news(PF_K_ENDPOINT "i-7", NULL, 10);
     assert_int_equal(n.kind, WP_STORE_ENTRY_ENDPOINT_REMOVED);
     assert_string_equal(n.endpoint.id, "i-7");
@@ -79,15 +79,15 @@
     assert_int_equal(n.kind, WP_STORE_ENTRY_SHIFT_ORDER);
     assert_int_equal(n.order.duration_ms, 12000);
     assert_int_equal(n.order.revision, 11);
-    pf_news_end(&n);
+    pf_release_store_entry(&n);
     n = news(PF_K_OUTCOME "s",
              "{\"state\":\"rolled_back\",\"targetVersion\":\"v2\"}", 12);
     assert_int_equal(n.kind, WP_STORE_ENTRY_SHIFT_OUTCOME);
     assert_int_equal(n.state, WP_SHIFT_ROLLED_BACK);
-    pf_news_end(&n);
+    pf_release_store_entry(&n);
     n = news(PF_K_CONFIG, "[]", 13);
     assert_int_equal(n.kind, WP_STORE_ENTRY_INVALID);
-    pf_news_end(&n);
+    pf_release_store_entry(&n);
     n = news("something/else", "{}", 14);
     assert_int_equal(n.kind, WP_STORE_ENTRY_IGNORED);
 }
@@ -151,7 +151,7 @@
         assert_null(n.routes);
         if (g_str_has_prefix(rows[i].key, PF_K_ENDPOINT))
             assert_string_equal(n.endpoint.id, "e");
-        pf_news_end(&n);
+        pf_release_store_entry(&n);
     }
 }
 
@@ -162,11 +162,11 @@
         news(PF_K_ENDPOINT "e", ENTRY("\"born\":1700000000123"), 3);
     assert_int_equal(n.kind, WP_STORE_ENTRY_ENDPOINT);
     assert_int_equal(n.endpoint.born_ms, 1700000000123);
-    pf_news_end(&n);
+    pf_release_store_entry(&n);
     n = news(PF_K_ENDPOINT "e", ENTRY("\"other\":[]"), 3);
     assert_int_equal(n.kind, WP_STORE_ENTRY_ENDPOINT);
     assert_int_equal(n.endpoint.born_ms, 0);
-    pf_news_end(&n);
+    pf_release_store_entry(&n);
 }
 
 /* The key alone is the order, whatever bytes it has. */
@@ -175,11 +175,11 @@
     static const char *const values[] = { "{}", "", "\xff" };
     (void)state;
     for (size_t i = 0; i < WP_COUNT(values); i++) {
-        WPStoreEntry n = news(PF_K_ZONE_OUT "z1", values[i], 3);
+        WPStoreEntry n = news(PF_K_EVACUATED_ZONE "z1", values[i], 3);
         assert_int_equal(n.kind, WP_STORE_ENTRY_ZONE_EVACUATED);
         assert_string_equal(n.zone, "z1");
     }
-    WPStoreEntry n = news(PF_K_ZONE_OUT "z1", NULL, 4);
+    WPStoreEntry n = news(PF_K_EVACUATED_ZONE "z1", NULL, 4);
     assert_int_equal(n.kind, WP_STORE_ENTRY_ZONE_EVACUATION_ENDED);
     assert_string_equal(n.zone, "z1");
 }
@@ -194,7 +194,7 @@
         WPStoreEntry n = news(key, text, 3);
         assert_int_equal(n.state, st);
         assert_string_equal(n.order.version, "v2");
-        pf_news_end(&n);
+        pf_release_store_entry(&n);
     }
 }
 
--- a/tools/wpload.c
+++ b/tools/wpload.c
@@ -142,7 +142,7 @@
     g_option_context_add_main_entries(c, options, NULL);
     signal(SIGPIPE, SIG_IGN);
     if (!g_option_context_parse(c, &argc, &argv, &error))
-        return daemon_fail(error);
+        return daemon_report_error(error);
     if (diff && argc == 3)
         return compare_runs(argv[1], argv[2]);
     if (!mix_file || !entries) {
@@ -151,7 +151,7 @@
     }
     Wp__Mix *mix = read_file(&wp__mix__descriptor, mix_file, &error);
     if (!mix)
-        return daemon_fail(error);
+        return daemon_report_error(error);
     if (rate > 0)
         mix->rate = rate;
     if (seconds > 0)
@@ -161,7 +161,7 @@
     GHashTable *costs = read_costs(rules, &error);
     int code = costs ? run(mix, entries, ratings, costs,
                            output && !strcmp(output, "json"))
-                     : daemon_fail(error);
+                     : daemon_report_error(error);
     if (costs)
         g_hash_table_unref(costs);
     wp_pb_free(mix);
