--- a/tests/direct_fake.h
+++ b/tests/direct_fake.h
@@ -1,5 +1,5 @@
-/* A direct entry's knowledge made for tests: one table of routes, a few
- * endpoints, and time that the test moves. */
+/* A WPDirect for tests: one routing table, a few endpoints, and virtual time
+ * that the test advances. */
 #ifndef DIRECT_FAKE_H
 #define DIRECT_FAKE_H
 
@@ -20,7 +20,7 @@
     WPDirect d;
     Wp__Chart *chart;
     WPTime now;
-    unsigned asked;
+    unsigned requests; /* begun so far; numbers their ids */
 } Fake;
 
 static inline WPRoutes *fake_routes(uint64_t version)
@@ -105,18 +105,19 @@
     wp_pb_free(k->chart);
 }
 
-static inline void fake_pass(Fake *k, int64_t ms)
+static inline void fake_advance(Fake *k, int64_t ms)
 {
     k->now.mono_us += ms * WP_US_PER_MS;
     k->now.wall_ms += ms;
     wp_direct_tick(&k->d, k->now);
 }
 
-/* Begins a request for `path`; the session may be NULL. */
+/* Begins a request for `path` in the session, which may be NULL. `*m` gets what
+   is to be done first. */
 static inline WPFlow *fake_ask(Fake *k, const char *path, const char *session,
                                WPMove *m)
 {
-    g_autofree char *id = g_strdup_printf("r%u", ++k->asked);
+    g_autofree char *id = g_strdup_printf("r%u", ++k->requests);
     WPDirectAsk ask = { .id = wp_str(id),
                         .host = wp_str("h.example"),
                         .path = wp_str(path),
@@ -135,22 +136,23 @@
                              .confidence = confidence };
 }
 
-/* A request that is answered at once by what it reaches: the endpoint's id, or
-   why it was refused. */
+/* Begins a request for `path` and, if it is sent to an endpoint, ends it with a
+   good answer. Returns the endpoint's id, or the error code if the request is
+   refused. */
 static inline const char *fake_serve(Fake *k, const char *path, WPMove *m)
 {
     WPDirectAnswer a = fake_answer(200, 90);
     WPFlow *f = fake_ask(k, path, NULL, m);
-    const char *what = "";
+    const char *result = "";
     if (m->kind == WP_MOVE_FAIL) {
-        what = wp_code_info(m->code)->code;
+        result = wp_code_info(m->code)->code;
     } else {
-        what = g_intern_string(m->replica->id);
+        result = g_intern_string(m->replica->id);
         wp_flow_answer(f, k->now, &a, &(WPMove){ 0 });
         wp_flow_done(f, k->now, 0);
     }
     wp_flow_free(f);
-    return what;
+    return result;
 }
 
 #endif
--- a/tests/test_areas.c
+++ b/tests/test_areas.c
@@ -1,5 +1,5 @@
-/* Areas in which a route or a workspace may be served: they bind on each way to
- * an endpoint. */
+/* Areas in which a route or a workspace may be served: every choice of an
+ * endpoint has to respect them. */
 #include "direct_fake.h"
 #include "wp_direct_int.h"
 
@@ -14,8 +14,9 @@
     wp_fleet_put(k->d.fleet, k->now, &l);
 }
 
-/* One endpoint a service in the own zone z1 of area north, one in z2 of area
-   south; `route` and `caller`: where they may be served, NULL: anywhere. */
+/* Registers one endpoint of each service in the box's own zone z1 (area north)
+   and one in z2 (area south). `route` and `caller`: the area in which all
+   routes, or the caller's requests, may be served; NULL: any. */
 static void init(Fake *k, const char *route, const char *caller)
 {
     static const char *const made[] = { "l1", "l2", "a1", "a2" };
@@ -45,7 +46,7 @@
     assert_string_equal(m->replica->id, id);
 }
 
-static void first_leg(void **state)
+static void first_attempt(void **state)
 {
     (void)state;
     Fake k;
@@ -62,8 +63,8 @@
     fake_end(&k);
 }
 
-/* A repeat, and a stream that goes on, have nowhere else to go. */
-static void repeat_and_resume(void **state)
+/* A retry and a resumed stream may only go to endpoints in the allowed area. */
+static void retry_and_resume(void **state)
 {
     (void)state;
     Fake k;
@@ -83,7 +84,7 @@
     fake_end(&k);
 }
 
-static void better_answer(void **state)
+static void escalation(void **state)
 {
     (void)state;
     Fake k;
@@ -101,8 +102,8 @@
     fake_end(&k);
 }
 
-/* Memory that is kept elsewhere is not copied from there. */
-static void kept_prompt(void **state)
+/* A cached prefix is not fetched from an endpoint outside the allowed area. */
+static void prefix_transfer(void **state)
 {
     (void)state;
     Fake k;
@@ -137,8 +138,8 @@
     fake_end(&k);
 }
 
-/* Refused at once, with the reason, also while the endpoints elsewhere are
-   free. */
+/* The request is refused at once, with the reason, although endpoints in other
+   areas are free. */
 static void no_endpoint_in_the_area(void **state)
 {
     (void)state;
@@ -153,8 +154,8 @@
     fake_end(&k);
 }
 
-/* A zone that no area is told of is in none. */
-static void zone_of_no_area(void **state)
+/* A zone for which no area is set belongs to none. */
+static void zone_without_area(void **state)
 {
     (void)state;
     Fake k;
@@ -166,5 +167,5 @@
     fake_end(&k);
 }
 
-TESTS_MAIN(T(first_leg), T(repeat_and_resume), T(better_answer), T(kept_prompt),
-           T(no_endpoint_in_the_area), T(zone_of_no_area))
+TESTS_MAIN(T(first_attempt), T(retry_and_resume), T(escalation),
+           T(prefix_transfer), T(no_endpoint_in_the_area), T(zone_without_area))
--- a/tests/test_box_news.c
+++ b/tests/test_box_news.c
@@ -74,11 +74,11 @@
     fake_init(&k);
     WPReplica *s = wp_fleet_find(k.d.fleet, "l1");
     wp_fleet_merge_sent(s, k.now, 400 * WP_US_PER_MS);
-    fake_pass(&k, 800);
+    fake_advance(&k, 800);
     assert_float_equal(ahead_ms(&k, "l1"), 200, 1);
     wp_fleet_merge_first_byte(s, k.now, 900 * WP_US_PER_MS);
     assert_float_equal(ahead_ms(&k, "l1"), 0, 1);
-    fake_pass(&k, 3000);
+    fake_advance(&k, 3000);
     assert_float_equal(ahead_ms(&k, "l1"), 0, 1);
     fake_end(&k);
 }
@@ -92,10 +92,10 @@
     fake_init(&k);
     WPReplica *s = wp_fleet_find(k.d.fleet, "l1");
     wp_fleet_set_load(s, k.now, 2, 0, 8);
-    fake_pass(&k, 20);
+    fake_advance(&k, 20);
     wp_fleet_merge_load(s, k.now, 7, 1);
     assert_float_equal(load(&k, "l1"), 2, 0.01);
-    fake_pass(&k, 200);
+    fake_advance(&k, 200);
     wp_fleet_merge_load(s, k.now, 7, 1);
     assert_float_equal(load(&k, "l1"), 8, 0.01);
     fake_end(&k);
@@ -173,7 +173,7 @@
             m->sent_to[j] = wp_hash(wp_str("l1"), 0);
         wp_box_updates_merge(k.d.fleet, k.now, m);
         wp_pb_free(m);
-        fake_pass(&k, 1);
+        fake_advance(&k, 1);
         double ms = ahead_ms(&k, "l1");
         assert_true(ms >= 0 && isfinite(ms));
     }
@@ -216,7 +216,7 @@
         WPReplica *n2 = wp_fleet_find(k.d.fleet, "n2");
         wp_fleet_set_load(n1, k.now, 4, 0, 8);
         wp_fleet_set_load(n2, k.now, 6, 0, 8);
-        fake_pass(&k, 30);
+        fake_advance(&k, 30);
         WPReplica *s = wp_fleet_choose(k.d.fleet, k.now, &w);
         assert_string_equal(s->id, "n1");
         assert_float_equal(load(&k, "f1"), 5, 0.01);
@@ -237,7 +237,7 @@
     wp_fleet_set_load(wp_fleet_find(k.d.fleet, "n2"), k.now, 6, 0, 8);
     for (int ms = 0; ms < 4000; ms += 100) {
         wp_fleet_set_load(wp_fleet_find(k.d.fleet, "n1"), k.now, 2, 0, 8);
-        fake_pass(&k, 100);
+        fake_advance(&k, 100);
         WPReplica *s = wp_fleet_choose(k.d.fleet, k.now, &w);
         wp_replica_unref(s);
     }
--- /dev/null
+++ b/tests/test_buffered.c
@@ -0,0 +1,233 @@
+/* Bytes that are buffered for callers that read or send slowly, on loopback,
+ * with virtual time. */
+#include "free_port.h"
+#include "test.h"
+#include "wp_downstream.h"
+#include "wp_buffered.h"
+
+#include <arpa/inet.h>
+#include <errno.h>
+#include <sys/socket.h>
+#include <unistd.h>
+
+enum {
+    SLOW_CALLERS = 12,      /* callers that do not read */
+    ANSWER_BYTES = 8 << 20, /* more than the kernel buffers for a caller */
+    BODY_BYTES = 3 << 20,   /* of a request */
+    CHUNK_BYTES = 64 << 10, /* of a body, sent between two ticks */
+    LOOP_TURNS = 200, /* of the event loop, until all that can move has moved */
+    TICK_MS = 50,
+    TIMEOUT_MS = 5000,
+    RCVBUF_BYTES = 4 << 10 /* receive buffer of the kernel for a slow caller */
+};
+
+typedef struct World {
+    struct event_base *base;
+    WPDownstream *downstream;
+    WPBuffered buffered;
+    WPTime now;
+    char *answer;
+    unsigned requests, gone, refused, closed;
+    uint16_t port;
+} World;
+
+static void on_request(void *arg, WPDownstreamConn *p, const WPHead *h)
+{
+    World *w = arg;
+    (void)h;
+    w->requests++;
+    wp_downstream_send_answer(p, 200, wp_str(""),
+                              wp_strn(w->answer, ANSWER_BYTES));
+}
+
+static void on_gone(void *arg, WPDownstreamConn *p)
+{
+    (void)p;
+    ((World *)arg)->gone++;
+}
+
+static void on_drained(void *arg, WPDownstreamConn *p)
+{
+    (void)arg;
+    (void)p;
+}
+
+static void on_refused(void *arg, WPCode code, const char *detail)
+{
+    (void)code;
+    (void)detail;
+    ((World *)arg)->refused++;
+}
+
+static const WPDownstreamOps ops = { on_request, on_gone, on_drained,
+                                     on_refused };
+
+static void open_world(World *w, double memory_mb)
+{
+    static const WPRouteLimits limits = { 16 << 10, 4 << 20, 5000, 30000 };
+    GError *error = NULL;
+    *w = (World){ .now = { 1000000, 0 } };
+    w->base = event_base_new();
+    w->port = free_port();
+    w->answer = g_malloc0(ANSWER_BYTES);
+    wp_buffered_set_limit(&w->buffered, memory_mb);
+    g_autofree char *addr = g_strdup_printf("127.0.0.1:%u", w->port);
+    w->downstream = wp_downstream_new(w->base, addr, &ops, w, &error);
+    assert_non_null(w->downstream);
+    wp_downstream_set_limits(w->downstream, &limits);
+}
+
+static void close_world(World *w)
+{
+    wp_downstream_free(w->downstream);
+    event_base_free(w->base);
+    g_free(w->answer);
+}
+
+static int dial(const World *w, bool slow)
+{
+    int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0),
+        small = RCVBUF_BYTES;
+    struct sockaddr_in sa = { .sin_family = AF_INET,
+                              .sin_port = htons(w->port) };
+    if (slow)
+        setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &small, sizeof(small));
+    inet_pton(AF_INET, "127.0.0.1", &sa.sin_addr);
+    if (connect(fd, (struct sockaddr *)&sa, sizeof(sa)))
+        assert_int_equal(errno, EINPROGRESS);
+    return fd;
+}
+
+/* Runs the event loop, then does what a box does at each tick. */
+static void tick(World *w)
+{
+    for (unsigned i = 0; i < LOOP_TURNS; i++)
+        event_base_loop(w->base, EVLOOP_NONBLOCK);
+    w->now.mono_us += TICK_MS * WP_US_PER_MS;
+    if (wp_buffered_update(&w->buffered,
+                           wp_downstream_poll_buffered(w->downstream, w->now)))
+        wp_downstream_set_over_limit(w->downstream, w->buffered.over_limit);
+    if (w->buffered.over_limit)
+        w->closed += wp_downstream_close_unread(w->downstream, w->now,
+                                                WP_BUFFERED_READ_TIMEOUT_MS);
+}
+
+static void send_request(int fd)
+{
+    static const char text[] = "GET /x HTTP/1.1\r\nHost: h\r\n\r\n";
+    assert_int_equal(write(fd, text, strlen(text)), strlen(text));
+}
+
+/* Reads and discards the bytes that have arrived; returns their number. */
+static size_t read_available(int fd)
+{
+    char buf[64 << 10];
+    size_t sum = 0;
+    for (ssize_t n; (n = read(fd, buf, sizeof(buf))) > 0;)
+        sum += (size_t)n;
+    return sum;
+}
+
+static void limit_has_hysteresis(void **state)
+{
+    (void)state;
+    WPBuffered h = { 0 };
+    wp_buffered_set_limit(&h, 100);
+    assert_false(wp_buffered_update(&h, h.limit_bytes - 1));
+    assert_true(wp_buffered_update(&h, h.limit_bytes) && h.over_limit);
+    assert_false(wp_buffered_update(&h, h.limit_bytes - 1));
+    assert_true(wp_buffered_update(&h, h.limit_bytes / 2) && !h.over_limit);
+    wp_buffered_set_limit(&h, 0);
+    assert_true(h.limit_bytes > 0);
+}
+
+/* Above the limit, connections of callers that read nothing are closed; a
+   caller that reads gets its complete answer meanwhile. */
+static void callers_that_do_not_read_are_closed(void **state)
+{
+    (void)state;
+    World w;
+    int slow[SLOW_CALLERS], good;
+    open_world(&w, 32);
+    for (unsigned i = 0; i < SLOW_CALLERS; i++)
+        slow[i] = dial(&w, true);
+    good = dial(&w, false);
+    tick(&w);
+    for (unsigned i = 0; i < SLOW_CALLERS; i++)
+        send_request(slow[i]);
+    tick(&w);
+    assert_int_equal(w.requests, SLOW_CALLERS);
+    assert_true(w.buffered.over_limit);
+    send_request(good);
+    size_t got = 0;
+    int64_t end_us = g_get_monotonic_time() + TIMEOUT_MS * WP_US_PER_MS;
+    while (got <= ANSWER_BYTES && g_get_monotonic_time() < end_us) {
+        event_base_loop(w.base, EVLOOP_NONBLOCK);
+        got += read_available(good);
+    }
+    assert_true(got > ANSWER_BYTES);
+    for (unsigned ms = 0; ms <= WP_BUFFERED_READ_TIMEOUT_MS; ms += TICK_MS)
+        tick(&w);
+    assert_true(w.closed >= SLOW_CALLERS / 2);
+    assert_false(w.buffered.over_limit);
+    assert_true(w.buffered.bytes < w.buffered.limit_bytes);
+    for (unsigned i = 0; i < SLOW_CALLERS; i++)
+        close(slow[i]);
+    close(good);
+    close_world(&w);
+}
+
+/* Sends a chunk of the `*unsent` bytes, or what the socket accepts of it. */
+static void send_chunk(int fd, size_t *unsent)
+{
+    static const char zeros[CHUNK_BYTES];
+    ssize_t n = write(fd, zeros, MIN(*unsent, sizeof(zeros)));
+    *unsent -= (size_t)MAX(n, 0);
+}
+
+/* Above the limit, large bodies are not read any further; below it, reading
+   goes on. */
+static void large_bodies_wait_above_the_limit(void **state)
+{
+    (void)state;
+    World w;
+    int fd[SLOW_CALLERS];
+    size_t unsent[SLOW_CALLERS];
+    open_world(&w, 32);
+    for (unsigned i = 0; i < SLOW_CALLERS; i++)
+        fd[i] = dial(&w, true);
+    tick(&w);
+    for (unsigned i = 0; i < SLOW_CALLERS; i++) {
+        g_autofree char *head = g_strdup_printf(
+            "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n",
+            BODY_BYTES);
+        assert_int_equal(write(fd[i], head, strlen(head)), strlen(head));
+        unsent[i] = BODY_BYTES;
+    }
+    for (unsigned round = 0; round < LOOP_TURNS; round++) {
+        for (unsigned i = 0; i < SLOW_CALLERS; i++)
+            send_chunk(fd[i], &unsent[i]);
+        event_base_loop(w.base, EVLOOP_NONBLOCK);
+        if (wp_buffered_update(
+                &w.buffered, wp_downstream_poll_buffered(w.downstream, w.now)))
+            wp_downstream_set_over_limit(w.downstream, w.buffered.over_limit);
+    }
+    assert_true(w.buffered.over_limit);
+    assert_true(w.buffered.bytes <
+                w.buffered.limit_bytes + SLOW_CALLERS * CHUNK_BYTES);
+    assert_int_equal(w.requests, 0);
+    wp_downstream_set_over_limit(w.downstream, false);
+    int64_t end_us = g_get_monotonic_time() + TIMEOUT_MS * WP_US_PER_MS;
+    while (w.requests < SLOW_CALLERS && g_get_monotonic_time() < end_us) {
+        for (unsigned i = 0; i < SLOW_CALLERS; i++)
+            send_chunk(fd[i], &unsent[i]);
+        event_base_loop(w.base, EVLOOP_NONBLOCK);
+    }
+    assert_int_equal(w.requests, SLOW_CALLERS);
+    for (unsigned i = 0; i < SLOW_CALLERS; i++)
+        close(fd[i]);
+    close_world(&w);
+}
+
+TESTS_MAIN(T(limit_has_hysteresis), T(callers_that_do_not_read_are_closed),
+           T(large_bodies_wait_above_the_limit))
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -1,5 +1,7 @@
-/* Hundreds of nodes in one process: a change reaches all within seconds, and
- * nothing goes back, whatever is lost, down, cut or started anew. */
+/* Hundreds of nodes in one process: a change of the configuration reaches all
+ * of them within seconds, and no node goes back to an older revision, whatever
+ * messages are lost and whichever nodes or the store are down, cut off or
+ * restarted. */
 #include "fleet.h"
 #include "test.h"
 
@@ -17,8 +19,9 @@
     return f;
 }
 
-/* Seconds until all that can know do, or 99. */
-static double spread(Fleet *f, uint64_t revision)
+/* Runs until every node that runs and is not cut off has the revision. Returns
+   the seconds that it took; 99 if it took more than 500 steps of 20 ms. */
+static double propagation_s(Fleet *f, uint64_t revision)
 {
     int64_t start = fleet_now(f).mono_us;
     for (int i = 0; i < 500; i++) {
@@ -37,7 +40,7 @@
         Fleet *f = fleet_of(300, losses[i], 7 + (uint32_t)i);
         for (unsigned n = 0; n < 300; n += 10)
             fleet_set_down(f, n, true);
-        double s = spread(f, fleet_change(f, 500));
+        double s = propagation_s(f, fleet_change(f, 500));
         if (s > 7)
             fail_msg("loss %g: %g s", losses[i], s);
         fleet_free(f);
@@ -67,14 +70,14 @@
     for (unsigned i = 0; i < 60; i++)
         fleet_set_cut(f, i, false);
     fleet_set_store(f, true);
-    assert_true(spread(f, fleet_change(f, 100)) < 40);
+    assert_true(propagation_s(f, fleet_change(f, 100)) < 40);
     g_rand_free(r);
     fleet_free(f);
 }
 
-/* The store is down and some boxes are stale: a new box must not begin with
-   what it could have known to be old. */
-static void a_box_starts_with_the_newest_its_peers_have(void **state)
+/* The store is down and some boxes are stale: a starting box must not begin
+   with a revision that its peers know to be outdated. */
+static void a_starting_box_gets_the_newest_revision_of_its_peers(void **state)
 {
     unsigned stale = 0, ready = 0;
     (void)state;
@@ -98,10 +101,10 @@
     assert_int_equal(stale, 0);
 }
 
-static void a_dead_box_leaves_every_table(void **state)
+static void a_dead_box_is_removed_from_every_table(void **state)
 {
     Fleet *f = fleet_of(100, 0.01, 4);
-    unsigned left = 0;
+    unsigned remaining = 0;
     (void)state;
     fleet_run(f, 4000000);
     fleet_set_down(f, 17, true);
@@ -109,10 +112,10 @@
     for (unsigned i = 0; i < 100; i++) {
         const WPMemberRow *row =
             wp_members_get(wp_node_members(fleet_node(f, i)), "n00017");
-        left += i != 17 && !(row && row->m->gone);
+        remaining += i != 17 && !(row && row->m->gone);
     }
-    assert_int_equal(left, 0);
-    /* It comes back under a new incarnation. */
+    assert_int_equal(remaining, 0);
+    /* It comes back as a new incarnation. */
     fleet_restart(f, 17);
     fleet_run(f, 10000000);
     const WPMemberRow *row =
@@ -121,15 +124,17 @@
     fleet_free(f);
 }
 
-static void the_store_is_asked_by_few(void **state)
+static void store_reads_are_limited(void **state)
 {
     Fleet *f = fleet_of(300, 0, 9);
     (void)state;
     fleet_run(f, 20 * WP_US_PER_S);
     FleetCosts c = fleet_costs(f);
-    /* Two of each of three zones, every two seconds, and their watches. */
+    /* Two boxes in each of the three zones read every two seconds, and there
+       are their watches. */
     assert_true(c.store_reads <= 20 * 6);
-    /* Down for a minute: those that wonder do not storm it, in any second. */
+    /* The store is down for a minute: boxes that poll it do not flood it, with
+       at most 300 reads in any second. */
     fleet_set_store(f, false);
     for (int i = 0; i < 60; i++) {
         fleet_run(f, WP_US_PER_S);
@@ -142,5 +147,6 @@
 
 TESTS_MAIN(T(a_change_reaches_300_within_seconds),
            T(a_revision_never_goes_back),
-           T(a_box_starts_with_the_newest_its_peers_have),
-           T(a_dead_box_leaves_every_table), T(the_store_is_asked_by_few))
+           T(a_starting_box_gets_the_newest_revision_of_its_peers),
+           T(a_dead_box_is_removed_from_every_table),
+           T(store_reads_are_limited))
--- a/tests/test_flow.c
+++ b/tests/test_flow.c
@@ -1,7 +1,9 @@
-/* The course of a request that is sent to endpoints directly. */
+/* How a request that a box sends to endpoints directly proceeds: attempts,
+ * retries, refusals and time limits. */
 #include "direct_fake.h"
 
-static void what_may_have_run_once_is_never_sent_again(void **state)
+static void
+non_repeatable_request_is_not_retried_if_it_may_have_run(void **state)
 {
     Fake k;
     WPMove m;
@@ -11,13 +13,14 @@
     assert_int_equal(m.kind, WP_MOVE_SEND);
     wp_flow_lost(f, k.now, WP_LOSS_SILENT, &m);
     assert_int_equal(m.kind, WP_MOVE_FAIL);
-    /* 502 promises nothing; 429 and 503 would say that it has not run. */
+    /* 502 leaves open whether the request has run; 429 and 503 would say that
+       it has not. */
     assert_int_equal(wp_code_info(m.code)->status, 502);
     wp_flow_free(f);
     fake_end(&k);
 }
 
-static void what_never_left_goes_elsewhere(void **state)
+static void unsent_request_is_retried_elsewhere(void **state)
 {
     Fake k;
     WPMove m;
@@ -33,8 +36,7 @@
     fake_end(&k);
 }
 
-static void
-a_refusal_goes_elsewhere_and_is_told_only_if_nothing_ran(void **state)
+static void refusal_is_retried_and_reported_only_if_nothing_ran(void **state)
 {
     Fake k;
     WPMove m;
@@ -51,7 +53,7 @@
     assert_true(m.retry_ms > 0);
     wp_flow_free(f);
 
-    /* The first leg of this one failed after it had run. */
+    /* The first attempt of this request failed after it had run. */
     f = fake_ask(&k, "/safe/x", NULL, &m);
     WPDirectAnswer bad = fake_answer(500, -1);
     wp_flow_answer(f, k.now, &bad, &m);
@@ -65,7 +67,7 @@
     fake_end(&k);
 }
 
-static void an_endpoints_503_without_its_mark_is_no_promise(void **state)
+static void a_503_not_marked_as_not_run_may_have_run(void **state)
 {
     Fake k;
     WPMove m;
@@ -80,7 +82,7 @@
     fake_end(&k);
 }
 
-static void an_endpoints_own_failure_is_passed_on_at_the_end(void **state)
+static void last_failure_of_an_endpoint_is_forwarded(void **state)
 {
     Fake k;
     WPMove m;
@@ -97,7 +99,7 @@
     fake_end(&k);
 }
 
-static void an_answer_without_the_endpoints_mark_is_none(void **state)
+static void answer_without_seal_is_rejected(void **state)
 {
     Fake k;
     WPMove m;
@@ -113,7 +115,7 @@
     fake_end(&k);
 }
 
-static void a_leaving_endpoint_gets_nothing_more(void **state)
+static void draining_endpoint_gets_no_requests(void **state)
 {
     Fake k;
     WPMove m;
@@ -123,7 +125,7 @@
     for (int i = 0; i < 50; i++) {
         WPFlow *f = fake_ask(&k, "/safe/x", NULL, &m);
         assert_string_equal(m.replica->id, "a2");
-        /* Nor for a retry, though the other has failed. */
+        /* Not for a retry either, although the other endpoint has failed. */
         wp_flow_lost(f, k.now, WP_LOSS_SILENT, &m);
         if (m.kind == WP_MOVE_SEND) {
             assert_string_equal(m.replica->id, "a2");
@@ -131,14 +133,15 @@
         }
         wp_flow_free(f);
     }
-    /* A stale listing does not bring it back. */
+    /* A stale registry entry does not end the draining. */
     fake_put(&k, "a1", "app", "v1", false);
     assert_true(wp_fleet_find(k.d.fleet, "a1")->reported.draining.source);
     fake_end(&k);
 }
 
-/* The caller whose stream broke off comes back with a new request. */
-static void a_stream_is_not_resumed_where_it_broke_off(void **state)
+/* A caller whose stream broke off sends a new request, which must not go to the
+   endpoint where the stream broke off. */
+static void stream_is_not_resumed_where_it_broke_off(void **state)
 {
     Fake k;
     WPMove m;
@@ -154,19 +157,20 @@
         WPReplica *other = m.replica;
         wp_flow_left(f, k.now);
         wp_flow_free(f);
-        /* Also where the other one is the fuller by far. */
+        /* Even if the other endpoint is much busier. */
         wp_fleet_set_load(other, k.now, 6, 0, 8);
         f = fake_ask(&k, "/chat/x", NULL, &m);
         assert_ptr_equal(m.replica, other);
         wp_flow_done(f, k.now, 9);
         wp_flow_free(f);
-        fake_pass(&k, 5000);
+        fake_advance(&k, 5000);
     }
     fake_end(&k);
 }
 
-/* Nor is it sent back to the endpoint that failed last, when all have. */
-static void the_last_to_fail_is_not_asked_next(void **state)
+/* When all endpoints have failed a request, it is not sent again to the one
+   that failed last. */
+static void retry_avoids_the_last_failed_endpoint(void **state)
 {
     Fake k;
     WPMove m;
@@ -181,14 +185,14 @@
         assert_ptr_not_equal(m.replica, second);
         wp_flow_left(f, k.now);
         wp_flow_free(f);
-        fake_pass(&k, 8000);
+        fake_advance(&k, 8000);
     }
     fake_end(&k);
 }
 
-/* Begins a request to a box that ends in `stay_ms`. */
-static WPFlow *ask_leaving(Fake *k, const char *path, uint32_t stay_ms,
-                           WPMove *m)
+/* Begins a request at a box that stops in `stay_ms`. */
+static WPFlow *begin_at_stopping_box(Fake *k, const char *path,
+                                     uint32_t stay_ms, WPMove *m)
 {
     WPDirectAsk ask = { .id = wp_str("r"),
                         .host = wp_str("h.example"),
@@ -199,25 +203,26 @@
     return wp_flow_begin(&k->d, k->now, &ask, m);
 }
 
-/* A box that stops takes what it can finish, and tells others at once that
-   they have not run. */
-static void a_box_that_stops_takes_what_it_can_finish(void **state)
+/* A box that stops accepts what it can finish, and refuses other requests at
+   once as not run. */
+static void stopping_box_accepts_what_it_can_finish(void **state)
 {
     Fake k;
     WPMove m;
     WPDirectAnswer ok = fake_answer(200, -1);
     (void)state;
     fake_init(&k);
-    for (int i = 0; i < 10; i++) { /* plain answers take 50 ms */
+    for (int i = 0; i < 10; i++) { /* non-streaming answers take 50 ms */
         WPFlow *f = fake_ask(&k, "/safe/x", NULL, &m);
-        fake_pass(&k, 50);
+        fake_advance(&k, 50);
         wp_flow_answer(f, k.now, &ok, &m);
         wp_flow_done(f, k.now, 0);
         wp_flow_free(f);
     }
-    WPFlow *f = ask_leaving(&k, "/safe/x", 1000, &m);
+    WPFlow *f = begin_at_stopping_box(&k, "/safe/x", 1000, &m);
     assert_int_equal(m.kind, WP_MOVE_SEND);
-    /* Its answer is the box's own, if need be, before the process ends. */
+    /* If the endpoint does not answer, the box itself answers before its
+       process ends. */
     assert_true(m.budget_ms <= 1000);
     wp_flow_done(f, k.now, 0);
     wp_flow_free(f);
@@ -226,7 +231,7 @@
         uint32_t stay_ms;
     } refused[] = { { "/safe/x", 100 }, { "/chat/x", 4000 } };
     for (size_t i = 0; i < WP_COUNT(refused); i++) {
-        f = ask_leaving(&k, refused[i].path, refused[i].stay_ms, &m);
+        f = begin_at_stopping_box(&k, refused[i].path, refused[i].stay_ms, &m);
         assert_int_equal(m.kind, WP_MOVE_FAIL);
         assert_int_equal(m.code, WP_LEAVING);
         assert_true(m.retry_ms > 0);
@@ -235,30 +240,30 @@
     fake_end(&k);
 }
 
-/* A box that starts tells callers to come back soon, or later when the store,
-   from which it needs the routes, does not answer. */
-static void a_box_without_routes_tells_when_to_come_back(void **state)
+/* A starting box without routes tells callers to retry soon, or later when the
+   store, from which it reads the routes, does not answer. */
+static void box_without_routes_tells_when_to_retry(void **state)
 {
     Fake k;
     WPMove m;
-    uint32_t soon = 0;
+    uint32_t last_ms = 0;
     (void)state;
     fake_init(&k);
     wp_routes_unref(k.d.routes);
     k.d.routes = NULL;
-    for (int away = 0; away < 2; away++) {
-        k.d.start.store_unavailable = away;
+    for (int unavailable = 0; unavailable < 2; unavailable++) {
+        k.d.start.store_unavailable = unavailable;
         WPFlow *f = fake_ask(&k, "/safe/x", NULL, &m);
         assert_int_equal(m.code, WP_NOT_READY);
-        assert_true(m.retry_ms > soon);
-        soon = m.retry_ms;
+        assert_true(m.retry_ms > last_ms);
+        last_ms = m.retry_ms;
         wp_flow_free(f);
     }
     fake_end(&k);
 }
 
 /* Begins a request with a prompt of that many tokens. */
-static WPFlow *ask_prompt(Fake *k, uint32_t tokens, WPMove *m)
+static WPFlow *begin_with_prompt(Fake *k, uint32_t tokens, WPMove *m)
 {
     WPDirectAsk ask = { .id = wp_str("r"),
                         .host = wp_str("h.example"),
@@ -270,9 +275,9 @@
     return wp_flow_begin(&k->d, k->now, &ask, m);
 }
 
-/* Before the largest model has been seen, its price tells how much slower it
-   reads: a long prompt is not asked of it in vain. */
-static void an_unseen_model_is_foretold_by_its_price(void **state)
+/* Until the largest model has answered, its prefill time is predicted from its
+   price: a long prompt is not sent to it in vain. */
+static void unseen_model_is_predicted_by_its_price(void **state)
 {
     Fake k;
     WPMove m;
@@ -281,20 +286,20 @@
     fake_init(&k);
     for (uint32_t i = 0; i < 40; i++) {
         uint32_t tokens = 500 + i * 300;
-        WPFlow *f = ask_prompt(&k, tokens, &m);
-        fake_pass(&k, 20 + tokens / 200);
+        WPFlow *f = begin_with_prompt(&k, tokens, &m);
+        fake_advance(&k, 20 + tokens / 200);
         wp_flow_answer(f, k.now, &good, &m);
         wp_flow_done(f, k.now, 9);
         wp_flow_free(f);
     }
-    WPFlow *f = ask_prompt(&k, 60000, &m);
-    fake_pass(&k, 320);
+    WPFlow *f = begin_with_prompt(&k, 60000, &m);
+    fake_advance(&k, 320);
     wp_flow_answer(f, k.now, &poor, &m);
     assert_int_equal(m.kind, WP_MOVE_PASS);
     wp_flow_done(f, k.now, 9);
     wp_flow_free(f);
-    f = ask_prompt(&k, 2000, &m);
-    fake_pass(&k, 30);
+    f = begin_with_prompt(&k, 2000, &m);
+    fake_advance(&k, 30);
     wp_flow_answer(f, k.now, &poor, &m);
     assert_int_equal(m.kind, WP_MOVE_SEND);
     wp_flow_left(f, k.now);
@@ -302,9 +307,9 @@
     fake_end(&k);
 }
 
-/* A few first bytes that come far too late, as after all boxes have stopped, do
-   not show strain for long. */
-static void late_first_bytes_are_soon_forgotten(void **state)
+/* A few first bytes that come far too late, as after all boxes were stopped for
+   a while, do not indicate overload for long. */
+static void late_first_bytes_decay_quickly(void **state)
 {
     Fake k;
     WPMove m;
@@ -313,7 +318,7 @@
     fake_init(&k);
     for (int i = 0; i < 50; i++) {
         WPFlow *f = fake_ask(&k, "/chat/x", NULL, &m);
-        fake_pass(&k, i < 10 ? 6000 : 100); /* the aim is 2 s */
+        fake_advance(&k, i < 10 ? 6000 : 100); /* the target is 2 s */
         wp_flow_answer(f, k.now, &good, &m);
         wp_flow_done(f, k.now, 9);
         wp_flow_free(f);
@@ -323,7 +328,7 @@
     fake_end(&k);
 }
 
-static void another_endpoint_at_the_address_is_left_alone(void **state)
+static void another_endpoint_at_the_address_is_not_used(void **state)
 {
     Fake k;
     WPMove m;
@@ -341,7 +346,7 @@
     fake_end(&k);
 }
 
-static void a_poor_answer_is_asked_again_of_the_largest(void **state)
+static void poor_answer_escalates_to_the_largest_model(void **state)
 {
     Fake k;
     WPMove m;
@@ -354,7 +359,7 @@
     assert_int_equal(m.kind, WP_MOVE_SEND);
     assert_int_equal(m.why, WP_WHY_BETTER);
     assert_true(wp_str_eq(m.model, wp_str("large")));
-    /* The largest model's answer is passed on whatever it thinks of it. */
+    /* The largest model's answer is forwarded whatever its confidence. */
     wp_flow_answer(f, k.now, &poor, &m);
     assert_int_equal(m.kind, WP_MOVE_PASS);
     wp_flow_done(f, k.now, 0);
@@ -368,9 +373,9 @@
     fake_end(&k);
 }
 
-/* The larger model's leg may be lost as well: an answer in hand is not dropped
-   for it when no attempt would be left after that. */
-static void the_last_answer_in_hand_is_not_dropped(void **state)
+/* The attempt with the larger model may fail as well: an answer in hand is not
+   dropped for it when no attempt would be left after that. */
+static void answer_in_hand_is_kept_before_the_last_attempt(void **state)
 {
     Fake k;
     WPMove m;
@@ -387,7 +392,7 @@
     fake_end(&k);
 }
 
-static void a_broken_stream_goes_on_elsewhere(void **state)
+static void broken_stream_is_resumed_elsewhere(void **state)
 {
     Fake k;
     WPMove m;
@@ -406,22 +411,23 @@
     wp_flow_lost(f, k.now, WP_LOSS_BROKEN, &m);
     if (m.kind == WP_MOVE_SEND)
         wp_flow_lost(f, k.now, WP_LOSS_BROKEN, &m);
-    /* Three attempts are over: the caller's answer must not look whole. */
+    /* All three attempts are used: the caller's answer is aborted, as it must
+       not look complete. */
     assert_int_equal(m.kind, WP_MOVE_CUT);
     wp_flow_free(f);
     fake_end(&k);
 }
 
-static void time_over_is_told_for_what_it_is(void **state)
+static void route_time_limit_gives_504(void **state)
 {
     Fake k;
     WPMove m;
     (void)state;
     fake_init(&k);
     WPFlow *f = fake_ask(&k, "/once/x", NULL, &m);
-    /* The route holds it for two seconds, the caller for ten. */
+    /* The route's time limit is two seconds, the caller's ten. */
     assert_int_equal(m.budget_ms, 2000);
-    fake_pass(&k, 2000);
+    fake_advance(&k, 2000);
     wp_flow_expired(f, k.now, &m);
     assert_int_equal(m.kind, WP_MOVE_FAIL);
     assert_int_equal(wp_code_info(m.code)->status, 504);
@@ -454,7 +460,7 @@
     fake_end(&k);
 }
 
-static void routes_never_go_back(void **state)
+static void older_routes_are_rejected(void **state)
 {
     Fake k;
     (void)state;
@@ -466,31 +472,32 @@
     fake_end(&k);
 }
 
-/* Whatever fails, the legs beyond the first of each request stay a share of
-   the requests and a fixed number. */
+/* Whatever fails, the retries (attempts beyond the first of each request) stay
+   within a share of the requests plus a fixed number. */
 static void retries_stay_within_the_budget(void **state)
 {
     Fake k;
     WPMove m;
-    unsigned legs = 0, requests = 400;
+    unsigned attempts = 0, requests = 400;
     (void)state;
     fake_init(&k);
     k.d.boxes = 2;
     for (unsigned i = 0; i < requests; i++) {
         WPFlow *f = fake_ask(&k, "/safe/x", NULL, &m);
-        for (; m.kind == WP_MOVE_SEND; legs++)
+        for (; m.kind == WP_MOVE_SEND; attempts++)
             wp_flow_lost(f, k.now, WP_LOSS_SILENT, &m);
         wp_flow_free(f);
-        fake_pass(&k, 10);
+        fake_advance(&k, 10);
     }
-    assert_true(legs > requests);
-    assert_true(legs - requests <= 0.5 * requests + 20 / 2);
+    assert_true(attempts > requests);
+    assert_true(attempts - requests <= 0.5 * requests + 20 / 2);
     fake_end(&k);
 }
 
-/* A mute endpoint does not keep what may be repeated: once it is overdue, it
-   goes elsewhere; what may not be repeated waits. */
-static void a_mute_endpoint_is_left_for_another(void **state)
+/* A request that may be repeated does not wait for an endpoint that does not
+   answer: at the first-byte time-out it goes to another one. A request that may
+   not be repeated waits. */
+static void first_byte_timeout_tries_another_endpoint(void **state)
 {
     Fake k;
     WPMove m;
@@ -498,7 +505,7 @@
     fake_init(&k);
     WPFlow *f = fake_ask(&k, "/chat/x", NULL, &m);
     assert_true(m.patience_ms > 0);
-    fake_pass(&k, m.patience_ms);
+    fake_advance(&k, m.patience_ms);
     assert_true(wp_flow_impatient(f, k.now, &m));
     assert_int_equal(m.kind, WP_MOVE_SEND);
     wp_flow_left(f, k.now);
@@ -510,8 +517,9 @@
     fake_end(&k);
 }
 
-/* Also where a stream goes on at another endpoint. */
-static void the_longest_gap_between_events_is_noted(void **state)
+/* The longest time between two events of a stream is recorded, also when the
+   stream is resumed at another endpoint. */
+static void longest_event_gap_is_recorded(void **state)
 {
     static const int ms[] = { 0, 40, 900, 40 };
     Fake k;
@@ -538,24 +546,24 @@
     fake_end(&k);
 }
 
-TESTS_MAIN(T(a_box_without_routes_tells_when_to_come_back),
-           T(an_unseen_model_is_foretold_by_its_price),
-           T(late_first_bytes_are_soon_forgotten),
-           T(a_stream_is_not_resumed_where_it_broke_off),
-           T(the_last_to_fail_is_not_asked_next),
-           T(a_box_that_stops_takes_what_it_can_finish),
-           T(what_may_have_run_once_is_never_sent_again),
-           T(what_never_left_goes_elsewhere),
-           T(a_refusal_goes_elsewhere_and_is_told_only_if_nothing_ran),
-           T(an_endpoints_503_without_its_mark_is_no_promise),
-           T(an_endpoints_own_failure_is_passed_on_at_the_end),
-           T(an_answer_without_the_endpoints_mark_is_none),
-           T(a_leaving_endpoint_gets_nothing_more),
-           T(another_endpoint_at_the_address_is_left_alone),
-           T(a_poor_answer_is_asked_again_of_the_largest),
-           T(the_last_answer_in_hand_is_not_dropped),
-           T(a_broken_stream_goes_on_elsewhere),
-           T(time_over_is_told_for_what_it_is), T(keys_and_routes_are_checked),
-           T(routes_never_go_back), T(retries_stay_within_the_budget),
-           T(a_mute_endpoint_is_left_for_another),
-           T(the_longest_gap_between_events_is_noted))
+TESTS_MAIN(T(box_without_routes_tells_when_to_retry),
+           T(unseen_model_is_predicted_by_its_price),
+           T(late_first_bytes_decay_quickly),
+           T(stream_is_not_resumed_where_it_broke_off),
+           T(retry_avoids_the_last_failed_endpoint),
+           T(stopping_box_accepts_what_it_can_finish),
+           T(non_repeatable_request_is_not_retried_if_it_may_have_run),
+           T(unsent_request_is_retried_elsewhere),
+           T(refusal_is_retried_and_reported_only_if_nothing_ran),
+           T(a_503_not_marked_as_not_run_may_have_run),
+           T(last_failure_of_an_endpoint_is_forwarded),
+           T(answer_without_seal_is_rejected),
+           T(draining_endpoint_gets_no_requests),
+           T(another_endpoint_at_the_address_is_not_used),
+           T(poor_answer_escalates_to_the_largest_model),
+           T(answer_in_hand_is_kept_before_the_last_attempt),
+           T(broken_stream_is_resumed_elsewhere), T(route_time_limit_gives_504),
+           T(keys_and_routes_are_checked), T(older_routes_are_rejected),
+           T(retries_stay_within_the_budget),
+           T(first_byte_timeout_tries_another_endpoint),
+           T(longest_event_gap_is_recorded))
--- a/tests/test_lives.c
+++ b/tests/test_incarnations.c
@@ -1,15 +1,15 @@
-/* Endpoints that start again under their id, zones that an operator keeps
- * requests out of, and entries of the list that are of no use. */
+/* Endpoints that restart under their id, zones that an operator evacuates, and
+ * invalid registry entries. */
 #include "direct_fake.h"
 #include "wp_box_updates.h"
 
-static const WPRegistryEntry first_life = { .id = "e1",
-                                            .service = "llm",
-                                            .addr = "10.0.0.1:80",
-                                            .zone = "z1",
-                                            .version = "v1",
-                                            .slots = 8,
-                                            .born_ms = 1700000000000 };
+static const WPRegistryEntry first_incarnation = { .id = "e1",
+                                                   .service = "llm",
+                                                   .addr = "10.0.0.1:80",
+                                                   .zone = "z1",
+                                                   .version = "v1",
+                                                   .slots = 8,
+                                                   .born_ms = 1700000000000 };
 
 static WPReplica *put(Fake *k, const WPRegistryEntry *l)
 {
@@ -17,46 +17,48 @@
     return wp_fleet_find(k->d.fleet, l->id);
 }
 
-/* An endpoint of which this box believes much. */
-static WPReplica *put_known(Fake *k)
+/* Registers an endpoint of which this box knows its load, a failure, a cached
+   prefix and that it is draining. */
+static WPReplica *put_with_state(Fake *k)
 {
-    WPRegistryEntry leaving = first_life;
-    WPReplica *s = put(k, &first_life);
+    WPRegistryEntry draining = first_incarnation;
+    WPReplica *s = put(k, &first_incarnation);
     wp_fleet_set_load(s, k->now, 7, 5, 8);
     wp_fleet_request_ended(s, k->now, WP_OUTCOME_NO_RESPONSE);
     wp_prefix_cache_add_key(s->prefix_cache, k->now, 77, 500);
-    leaving.draining = true;
-    return put(k, &leaving);
+    draining.draining = true;
+    return put(k, &draining);
 }
 
-static void a_new_life_begins_without_what_was_believed(void **state)
+static void new_incarnation_starts_without_state(void **state)
 {
-    WPRegistryEntry second = first_life;
+    WPRegistryEntry second = first_incarnation;
     Fake k;
     (void)state;
     fake_init(&k);
-    WPReplica *had = wp_replica_ref(put_known(&k));
+    WPReplica *old = wp_replica_ref(put_with_state(&k));
     second.born_ms += 30000;
     assert_true(wp_fleet_put(k.d.fleet, k.now, &second));
     WPReplica *s = wp_fleet_find(k.d.fleet, "e1");
-    assert_ptr_not_equal(s, had);
-    assert_true(had->gone);
+    assert_ptr_not_equal(s, old);
+    assert_true(old->gone);
     assert_false(s->reported.draining.source);
     assert_int_equal(s->reported.load_reported_us, 0);
     assert_int_equal(s->consecutive_failures, 0);
     assert_int_equal(s->avoid_until_us, 0);
     assert_int_equal(wp_prefix_cache_size(s->prefix_cache), 0);
-    assert_true(s->incarnation_hash != had->incarnation_hash);
-    /* A request of the life before ends there and counts for nothing here. */
-    wp_fleet_request_ended(had, k.now, WP_OUTCOME_STREAM_BROKEN);
-    wp_replica_unref(had);
+    assert_true(s->incarnation_hash != old->incarnation_hash);
+    /* A request to the previous incarnation ends there and does not count
+       against the new one. */
+    wp_fleet_request_ended(old, k.now, WP_OUTCOME_STREAM_BROKEN);
+    wp_replica_unref(old);
     assert_int_equal(s->consecutive_failures, 0);
     fake_end(&k);
 }
 
-static void what_comes_late_from_the_life_before_changes_nothing(void **state)
+static void late_entry_of_the_previous_incarnation_is_ignored(void **state)
 {
-    WPRegistryEntry second = first_life, late = first_life;
+    WPRegistryEntry second = first_incarnation, late = first_incarnation;
     Fake k;
     (void)state;
     fake_init(&k);
@@ -71,61 +73,63 @@
     fake_end(&k);
 }
 
-/* A start that is told for the first time is one. */
-static void a_start_that_was_not_told_before_is_a_new_life(void **state)
+/* The first entry that gives a start time begins a new incarnation. */
+static void first_start_time_begins_a_new_incarnation(void **state)
 {
-    WPRegistryEntry l = first_life;
+    WPRegistryEntry l = first_incarnation;
     Fake k;
     (void)state;
     fake_init(&k);
     l.born_ms = 0;
-    WPReplica *had = wp_replica_ref(put(&k, &l));
-    assert_ptr_not_equal(put(&k, &first_life), had);
-    wp_replica_unref(had);
-    had = wp_fleet_find(k.d.fleet, "e1");
-    assert_ptr_equal(put(&k, &l), had); /* told no more */
+    WPReplica *old = wp_replica_ref(put(&k, &l));
+    assert_ptr_not_equal(put(&k, &first_incarnation), old);
+    wp_replica_unref(old);
+    old = wp_fleet_find(k.d.fleet, "e1");
+    assert_ptr_equal(put(&k, &l), old); /* the start time is missing again */
     fake_end(&k);
 }
 
-/* Where starts are not told, the address, zone and service tell them apart. */
-static void another_address_is_a_new_life(void **state)
+/* Without start times, the address, zone and service distinguish
+   incarnations. */
+static void another_address_is_a_new_incarnation(void **state)
 {
-    WPRegistryEntry l = first_life;
+    WPRegistryEntry l = first_incarnation;
     Fake k;
     (void)state;
     fake_init(&k);
     l.born_ms = 0;
-    WPReplica *had = put(&k, &l);
-    assert_ptr_equal(put(&k, &l), had);
-    wp_replica_ref(had);
+    WPReplica *old = put(&k, &l);
+    assert_ptr_equal(put(&k, &l), old);
+    wp_replica_ref(old);
     l.addr = "10.0.0.2:80";
-    assert_ptr_not_equal(put(&k, &l), had);
+    assert_ptr_not_equal(put(&k, &l), old);
     assert_string_equal(wp_fleet_find(k.d.fleet, "e1")->addr, "10.0.0.2:80");
-    assert_true(had->gone);
-    wp_replica_unref(had);
+    assert_true(old->gone);
+    wp_replica_unref(old);
     fake_end(&k);
 }
 
-/* News between boxes names the life; boxes that know only ids are heard. */
-static void news_of_a_life_that_is_over_is_passed_over(void **state)
+/* Updates between boxes name the incarnation; those of boxes that know only ids
+   are accepted as well. */
+static void updates_of_an_ended_incarnation_are_ignored(void **state)
 {
-    WPRegistryEntry second = first_life;
+    WPRegistryEntry second = first_incarnation;
     Fake k;
     (void)state;
     fake_init(&k);
-    uint64_t before = put(&k, &first_life)->incarnation_hash;
+    uint64_t before = put(&k, &first_incarnation)->incarnation_hash;
     second.born_ms += 30000;
     WPReplica *s = put(&k, &second);
     assert_null(wp_fleet_by_hash(k.d.fleet, before));
     assert_ptr_equal(wp_fleet_by_hash(k.d.fleet, s->incarnation_hash), s);
     assert_ptr_equal(wp_fleet_by_hash(k.d.fleet, s->id_hash), s);
-    const WPCachedPrefixUpdate kept = { before, 77, 500 };
-    wp_fleet_merge_cached_prefix(k.d.fleet, k.now, &kept);
+    const WPCachedPrefixUpdate update = { before, 77, 500 };
+    wp_fleet_merge_cached_prefix(k.d.fleet, k.now, &update);
     assert_int_equal(wp_prefix_cache_size(s->prefix_cache), 0);
     fake_end(&k);
 }
 
-static const char *chosen(Fake *k, const char *path)
+static const char *chosen_endpoint(Fake *k, const char *path)
 {
     WPMove m;
     WPFlow *f = fake_ask(k, path, NULL, &m);
@@ -147,7 +151,7 @@
     put(k, &l);
 }
 
-static void nothing_goes_to_a_zone_that_is_out(void **state)
+static void evacuated_zone_gets_no_requests(void **state)
 {
     Fake k;
     (void)state;
@@ -155,21 +159,21 @@
     put_in_zone(&k, "far", "z2");
     assert_true(wp_fleet_set_zone_evacuated(k.d.fleet, k.now, "z1", true));
     assert_false(wp_fleet_set_zone_evacuated(k.d.fleet, k.now, "z1", true));
-    put_in_zone(&k, "late", "z1"); /* listed meanwhile */
+    put_in_zone(&k, "late", "z1"); /* registered meanwhile */
     for (int i = 0; i < 50; i++)
-        assert_string_equal(chosen(&k, "/safe/x"), "far");
-    /* A zone that nobody knows keeps nothing out. */
+        assert_string_equal(chosen_endpoint(&k, "/safe/x"), "far");
+    /* Evacuating an unknown zone excludes no endpoint. */
     assert_true(wp_fleet_set_zone_evacuated(k.d.fleet, k.now, "z9", true));
-    assert_string_equal(chosen(&k, "/safe/x"), "far");
+    assert_string_equal(chosen_endpoint(&k, "/safe/x"), "far");
     assert_true(wp_fleet_set_zone_evacuated(k.d.fleet, k.now, "z1", false));
-    unsigned near = 0;
+    unsigned local = 0;
     for (int i = 0; i < 50; i++)
-        near += strcmp(chosen(&k, "/safe/x"), "far") != 0;
-    assert_true(near > 0);
+        local += strcmp(chosen_endpoint(&k, "/safe/x"), "far") != 0;
+    assert_true(local > 0);
     fake_end(&k);
 }
 
-static void a_service_that_is_out_everywhere_refuses_at_once(void **state)
+static void service_evacuated_everywhere_refuses_at_once(void **state)
 {
     WPMove m;
     Fake k;
@@ -184,9 +188,9 @@
     fake_end(&k);
 }
 
-/* A retry, a stream that goes on elsewhere and a prompt that is moved choose by
+/* Retries, resumed streams and transfers of cached prefixes choose endpoints by
    the same rule. */
-static void later_legs_keep_out_of_the_zone_too(void **state)
+static void later_attempts_avoid_the_zone_too(void **state)
 {
     WPMove m;
     Fake k;
@@ -194,7 +198,7 @@
     fake_init(&k);
     put_in_zone(&k, "far", "z2");
     WPFlow *f = fake_ask(&k, "/safe/x", NULL, &m);
-    while (strcmp(m.replica->id, "far")) { /* begun before the order */
+    while (strcmp(m.replica->id, "far")) { /* sent before the evacuation */
         wp_fleet_set_zone_evacuated(k.d.fleet, k.now, "z1", true);
         wp_flow_lost(f, k.now, WP_LOSS_BROKEN, &m);
         assert_int_equal(m.kind, WP_MOVE_SEND);
@@ -204,7 +208,7 @@
     fake_end(&k);
 }
 
-static void an_unreadable_entry_takes_its_endpoint_out(void **state)
+static void unreadable_entry_excludes_its_endpoint(void **state)
 {
     Fake k;
     (void)state;
@@ -213,12 +217,12 @@
     wp_fleet_set_unreadable(k.d.fleet, "a1");
     wp_fleet_set_unreadable(k.d.fleet, "nobody");
     for (int i = 0; i < 20; i++)
-        assert_string_equal(chosen(&k, "/safe/x"), "a2");
+        assert_string_equal(chosen_endpoint(&k, "/safe/x"), "a2");
     put_in_zone(&k, "a1", "z1");
-    unsigned back = 0;
+    unsigned returned = 0;
     for (int i = 0; i < 50; i++)
-        back += !strcmp(chosen(&k, "/safe/x"), "a1");
-    assert_true(back > 0);
+        returned += !strcmp(chosen_endpoint(&k, "/safe/x"), "a1");
+    assert_true(returned > 0);
     fake_end(&k);
 }
 
@@ -254,7 +258,7 @@
     }
 }
 
-static void figures_are_checked(void **state)
+static void numbers_are_checked(void **state)
 {
     static const struct {
         int64_t slots, cold_left_ms, born_ms;
@@ -270,7 +274,7 @@
     };
     (void)state;
     for (size_t i = 0; i < WP_COUNT(rows); i++) {
-        WPRegistryEntry l = first_life;
+        WPRegistryEntry l = first_incarnation;
         l.slots = rows[i].slots;
         l.cold_left_ms = rows[i].cold_left_ms;
         l.born_ms = rows[i].born_ms;
@@ -280,13 +284,13 @@
     }
 }
 
-TESTS_MAIN(T(a_new_life_begins_without_what_was_believed),
-           T(what_comes_late_from_the_life_before_changes_nothing),
-           T(a_start_that_was_not_told_before_is_a_new_life),
-           T(another_address_is_a_new_life),
-           T(news_of_a_life_that_is_over_is_passed_over),
-           T(nothing_goes_to_a_zone_that_is_out),
-           T(a_service_that_is_out_everywhere_refuses_at_once),
-           T(later_legs_keep_out_of_the_zone_too),
-           T(an_unreadable_entry_takes_its_endpoint_out),
-           T(names_and_addresses_are_checked), T(figures_are_checked))
+TESTS_MAIN(T(new_incarnation_starts_without_state),
+           T(late_entry_of_the_previous_incarnation_is_ignored),
+           T(first_start_time_begins_a_new_incarnation),
+           T(another_address_is_a_new_incarnation),
+           T(updates_of_an_ended_incarnation_are_ignored),
+           T(evacuated_zone_gets_no_requests),
+           T(service_evacuated_everywhere_refuses_at_once),
+           T(later_attempts_avoid_the_zone_too),
+           T(unreadable_entry_excludes_its_endpoint),
+           T(names_and_addresses_are_checked), T(numbers_are_checked))
--- a/tests/test_lag.c
+++ b/tests/test_lag.c
@@ -1,4 +1,4 @@
-/* How long a box is behind the others. */
+/* Replication lag: for how long a box has lacked revisions that others have. */
 #include "test.h"
 #include "wp_lag.h"
 
@@ -15,7 +15,7 @@
     wp_lag_record_remote(&l, at(0), 10);
     assert_int_equal(wp_lag_ms(&l, at(0)), 1);
     wp_lag_record_remote(&l, at(100), 12);
-    wp_lag_record_remote(&l, at(150), 11); /* another box that knows less */
+    wp_lag_record_remote(&l, at(150), 11); /* another box, further back */
     assert_int_equal(wp_lag_ms(&l, at(300)), 300);
     wp_lag_record_local(&l, 10);
     assert_int_equal(wp_lag_ms(&l, at(300)), 200);
@@ -26,9 +26,9 @@
 }
 
 /* While all boxes start, the store changes all the time. A box that gets each
-   change a little later than it hears of it is not far behind: it must not read
-   the whole store, as every box would. */
-static void steady_changes_that_arrive_are_no_lag(void **state)
+   change a little later than it learns of it from others has no large lag: it
+   must not read the whole store, as every box would. */
+static void steadily_arriving_changes_are_no_lag(void **state)
 {
     WPLag l = { 0 };
     (void)state;
@@ -39,8 +39,8 @@
     }
 }
 
-/* More marks than fit: the lag is rather told too long. */
-static void many_missing_revisions_keep_the_first_time(void **state)
+/* With more missing revisions than marks, the lag is rather overestimated. */
+static void many_missing_revisions_keep_the_first_seen_time(void **state)
 {
     WPLag l = { 0 };
     (void)state;
@@ -55,8 +55,9 @@
     assert_int_equal(wp_lag_ms(&l, at(500)), 0);
 }
 
-/* Few entries are asked for at once; many wait, but never long. */
-static void a_box_that_starts_waits_by_the_number_of_entries(void **state)
+/* With few entries, a starting box asks other boxes for a copy at once; with
+   many it waits for the store's answer, but never for more than a second. */
+static void initial_pull_waits_by_the_number_of_entries(void **state)
 {
     (void)state;
     assert_int_equal(wp_lag_initial_pull_wait_ms(0), 0);
@@ -66,7 +67,7 @@
     assert_true(wp_lag_initial_pull_wait_ms(UINT32_MAX) <= 1000);
 }
 
-TESTS_MAIN(T(a_box_that_starts_waits_by_the_number_of_entries),
+TESTS_MAIN(T(initial_pull_waits_by_the_number_of_entries),
            T(the_oldest_missing_revision_counts),
-           T(steady_changes_that_arrive_are_no_lag),
-           T(many_missing_revisions_keep_the_first_time))
+           T(steadily_arriving_changes_are_no_lag),
+           T(many_missing_revisions_keep_the_first_seen_time))
--- a/tests/test_speed.c
+++ b/tests/test_latency.c
@@ -1,76 +1,79 @@
-/* What is expected of first bytes, and what follows for the choice of model. */
+/* Prediction of the time to first byte (TTFB), and the choice of the model that
+ * follows from it. */
 #include "test.h"
 #include "wp_cascade.h"
 #include "wp_latency.h"
 
 #include <math.h>
 
-/* As engines read prompts: a part in proportion, a part by the square. */
-static int64_t read_us(uint32_t tokens)
+/* Time to first byte of an engine whose prefill time has a part proportional to
+   the number of tokens and one that grows with its square. */
+static int64_t ttfb_us(uint32_t tokens)
 {
     double k = tokens / 1000.0;
     return (int64_t)(50000 + 27000 * k + 460 * k * k);
 }
 
-/* A prompt of which nothing is kept, on an idle endpoint. */
-static WPTtfbInputs cold(uint32_t tokens)
+/* Inputs of a prompt of which nothing is cached, at an idle endpoint. */
+static WPTtfbInputs uncached(uint32_t tokens)
 {
     return (WPTtfbInputs){ .prompt_tokens = tokens, .uncached_tokens = tokens };
 }
 
 static void add(WPTtfbModel *s, uint32_t tokens, int64_t us)
 {
-    WPTtfbInputs w = cold(tokens);
+    WPTtfbInputs w = uncached(tokens);
     wp_ttfb_add(s, &w, us);
 }
 
-static double expect_of(WPTtfbModel *s, uint32_t tokens)
+static double predict(WPTtfbModel *s, uint32_t tokens)
 {
-    WPTtfbInputs w = cold(tokens);
+    WPTtfbInputs w = uncached(tokens);
     return wp_ttfb_predict(s, &w);
 }
 
-static void long_prompts_are_foretold_by_the_curve(void **state)
+static void long_prompts_are_predicted_by_the_curve(void **state)
 {
     WPTtfbModel s = { 0 };
     (void)state;
     for (uint32_t i = 0; i < 300; i++) {
         uint32_t tokens = 500 + (i * 7919) % 20000;
-        add(&s, tokens, read_us(tokens));
+        add(&s, tokens, ttfb_us(tokens));
     }
     for (uint32_t tokens = 1000; tokens <= 60000; tokens += 1000) {
-        double expect = expect_of(&s, tokens);
-        assert_true(fabs(expect - (double)read_us(tokens)) <
-                    0.02 * (double)read_us(tokens));
+        double predicted = predict(&s, tokens);
+        assert_true(fabs(predicted - (double)ttfb_us(tokens)) <
+                    0.02 * (double)ttfb_us(tokens));
     }
 }
 
-static void few_or_alike_prompts_are_no_reason_for_a_slope(void **state)
+static void few_or_equal_prompts_give_no_slope(void **state)
 {
     WPTtfbModel s = { 0 };
     (void)state;
     for (int i = 0; i < 19; i++)
         add(&s, 600, 60000);
-    assert_true(expect_of(&s, 600) == 0);
+    assert_true(predict(&s, 600) == 0);
     add(&s, 600, 60000);
-    assert_true(fabs(expect_of(&s, 50000) - 60000) < 1);
+    assert_true(fabs(predict(&s, 50000) - 60000) < 1);
 }
 
-/* A chance late answer to a short prompt bends the curve down: the line is
-   taken then, which does not fall with the length. */
-static void no_curve_falls_with_the_length(void **state)
+/* A chance late answer to a short prompt bends the fitted curve down: the
+   prediction is then a straight line, which does not fall with the length. */
+static void prediction_does_not_fall_with_the_length(void **state)
 {
     WPTtfbModel s = { 0 };
     (void)state;
     for (uint32_t i = 0; i < 100; i++) {
         uint32_t tokens = 500 + (i * 7919) % 20000;
-        add(&s, tokens, tokens < 1500 ? 900000 : read_us(tokens));
+        add(&s, tokens, tokens < 1500 ? 900000 : ttfb_us(tokens));
     }
-    assert_true(expect_of(&s, 60000) >= expect_of(&s, 20000));
+    assert_true(predict(&s, 60000) >= predict(&s, 20000));
 }
 
-/* What is kept is not read; what runs and waits there comes before. */
-static void kept_tokens_load_and_prompts_ahead_are_told_apart(void **state)
+/* Cached tokens need no prefill; requests that run or wait at the endpoint come
+   first. */
+static void cached_tokens_load_and_queue_are_separated(void **state)
 {
     WPTtfbModel s = { 0 };
     GRand *r = g_rand_new_with_seed(3);
@@ -88,21 +91,23 @@
         wp_ttfb_add(&s, &w, (int64_t)us);
     }
     g_rand_free(r);
-    WPTtfbInputs full = { .prompt_tokens = 30000, .uncached_tokens = 30000 };
-    WPTtfbInputs most = { .prompt_tokens = 30000, .uncached_tokens = 3000 };
+    WPTtfbInputs none_cached = { .prompt_tokens = 30000,
+                                 .uncached_tokens = 30000 };
+    WPTtfbInputs most_cached = { .prompt_tokens = 30000,
+                                 .uncached_tokens = 3000 };
     WPTtfbInputs busy = { .prompt_tokens = 30000,
                           .uncached_tokens = 3000,
                           .load = 20 };
-    WPTtfbInputs after = { .prompt_tokens = 30000,
-                           .uncached_tokens = 3000,
-                           .queued_prefill_us = 2e6 };
-    double base = wp_ttfb_predict(&s, &most);
-    assert_true(fabs(wp_ttfb_predict(&s, &full) - 1055000) < 80000);
+    WPTtfbInputs queued = { .prompt_tokens = 30000,
+                            .uncached_tokens = 3000,
+                            .queued_prefill_us = 2e6 };
+    double base = wp_ttfb_predict(&s, &most_cached);
+    assert_true(fabs(wp_ttfb_predict(&s, &none_cached) - 1055000) < 80000);
     assert_true(fabs(base - 143750) < 60000);
     assert_true(fabs(wp_ttfb_predict(&s, &busy) - base - 160000) < 40000);
-    assert_true(fabs(wp_ttfb_predict(&s, &after) - base - 3e6) < 200000);
-    assert_true(wp_ttfb_predict_prefill(&s, &most) <
-                wp_ttfb_predict_prefill(&s, &full));
+    assert_true(fabs(wp_ttfb_predict(&s, &queued) - base - 3e6) < 200000);
+    assert_true(wp_ttfb_predict_prefill(&s, &most_cached) <
+                wp_ttfb_predict_prefill(&s, &none_cached));
 }
 
 static const WPCascadeRules rules = { .confidence_even = 44,
@@ -112,29 +117,30 @@
                                       .strain_from = 0.1,
                                       .strain_weight = 3 };
 
-/* An endpoint that says that its work takes twice as long is expected to take
-   twice as long, and what it takes tells of the others what it would there. */
-static void pace_scales_times(void **state)
+/* An endpoint that reports that its work takes twice as long (a slowdown of 2)
+   is predicted to take twice as long; its times, divided by its slowdown, are
+   learned for the other endpoints as well. */
+static void slowdown_scales_times(void **state)
 {
     (void)state;
     WPTtfbModel s = { 0 };
     for (uint32_t i = 0; i < 300; i++) {
         uint32_t tokens = 500 + (i * 7919) % 20000;
-        WPTtfbInputs slow = cold(tokens);
+        WPTtfbInputs slow = uncached(tokens);
         slow.slowdown = 2;
-        wp_ttfb_add(&s, &slow, 2 * read_us(tokens));
-        add(&s, tokens, read_us(tokens));
+        wp_ttfb_add(&s, &slow, 2 * ttfb_us(tokens));
+        add(&s, tokens, ttfb_us(tokens));
     }
-    WPTtfbInputs w = cold(10000);
+    WPTtfbInputs w = uncached(10000);
     double us = wp_ttfb_predict(&s, &w),
-           reading_us = wp_ttfb_predict_prefill(&s, &w);
-    assert_true(fabs(us - (double)read_us(10000)) < 0.02 * us);
+           prefill_us = wp_ttfb_predict_prefill(&s, &w);
+    assert_true(fabs(us - (double)ttfb_us(10000)) < 0.02 * us);
     w.slowdown = 2;
     assert_true(fabs(wp_ttfb_predict(&s, &w) - 2 * us) < 1);
-    assert_true(fabs(wp_ttfb_predict_prefill(&s, &w) - 2 * reading_us) < 1);
+    assert_true(fabs(wp_ttfb_predict_prefill(&s, &w) - 2 * prefill_us) < 1);
 }
 
-static void the_chance_to_be_in_time(void **state)
+static void chance_to_be_on_time(void **state)
 {
     (void)state;
     assert_true(wp_cascade_on_time_chance(0, 1000) == 1);
@@ -143,9 +149,9 @@
     assert_true(wp_cascade_on_time_chance(1500, 1000) < 0.05);
 }
 
-/* The largest model at once pays where both in turn would be late and it alone
-   would not, and only there. */
-static void the_largest_model_is_asked_at_once_where_two_are_late(void **state)
+/* Starting with the largest model pays only where asking both in turn would be
+   late and the largest alone would not. */
+static void starts_with_the_largest_model_where_both_would_be_late(void **state)
 {
     WPCascadeStart c = { .prompt_tokens = 30000,
                          .answer_tokens = 400,
@@ -161,9 +167,10 @@
     assert_false(wp_cascade_starts_with_largest(&rules, &c));
 }
 
-/* Reading is dear where engines are strained and earn much; what is kept need
-   not be read, so its answer is still worth asking for. */
-static void reading_is_priced_by_strain_and_earnings(void **state)
+/* Prefill has a high price where engines are overloaded and have a high value
+   rate; cached tokens need no prefill, so an escalation of such a prompt still
+   pays. */
+static void prefill_price_follows_overload_and_value_rate(void **state)
 {
     WPValueRate e;
     WPCascadeEscalation c = { .confidence = 45,
@@ -177,7 +184,7 @@
     double mild = wp_cascade_prefill_price(&rules, &e, 0.15);
     assert_true(mild > 0);
     assert_true(wp_cascade_prefill_price(&rules, &e, 0.3) > 3 * mild);
-    for (int i = 0; i < 300; i++) { /* twice the earnings of a second */
+    for (int i = 0; i < 300; i++) { /* twice the value rate */
         wp_value_rate_add_request(&e, &rules, 17000, 120);
         wp_value_rate_add_prefill(&e, 0.17);
     }
@@ -189,24 +196,24 @@
     assert_true(wp_cascade_escalation_gain(&rules, &c) > 0);
 }
 
-/* Right after a start nothing has been seen: what is usual holds, and the
-   first requests do not move it far. */
-static void a_start_does_not_make_reading_dear(void **state)
+/* Right after a start nothing has been observed: the typical value rate holds,
+   and the first requests do not change it much. */
+static void start_does_not_raise_the_prefill_price(void **state)
 {
     WPValueRate e;
     (void)state;
     wp_value_rate_init(&e);
-    double usual = wp_value_rate_per_s(&e);
+    double typical = wp_value_rate_per_s(&e);
     for (int i = 0; i < 10; i++)
         wp_value_rate_add_request(&e, &rules, 9000, 100);
-    assert_true(wp_value_rate_per_s(&e) < 1.5 * usual);
+    assert_true(wp_value_rate_per_s(&e) < 1.5 * typical);
 }
 
-TESTS_MAIN(T(reading_is_priced_by_strain_and_earnings),
-           T(a_start_does_not_make_reading_dear),
-           T(kept_tokens_load_and_prompts_ahead_are_told_apart),
-           T(long_prompts_are_foretold_by_the_curve),
-           T(few_or_alike_prompts_are_no_reason_for_a_slope),
-           T(no_curve_falls_with_the_length), T(pace_scales_times),
-           T(the_chance_to_be_in_time),
-           T(the_largest_model_is_asked_at_once_where_two_are_late))
+TESTS_MAIN(T(prefill_price_follows_overload_and_value_rate),
+           T(start_does_not_raise_the_prefill_price),
+           T(cached_tokens_load_and_queue_are_separated),
+           T(long_prompts_are_predicted_by_the_curve),
+           T(few_or_equal_prompts_give_no_slope),
+           T(prediction_does_not_fall_with_the_length),
+           T(slowdown_scales_times), T(chance_to_be_on_time),
+           T(starts_with_the_largest_model_where_both_would_be_late))
--- a/tests/test_limit.c
+++ b/tests/test_limit.c
@@ -1,11 +1,10 @@
-/* Endpoints that name the requests a second that they take, from all boxes
- * together.
+/* Rate limits that endpoints set, in requests a second from all boxes together.
  *
- * What users saw: endpoints that named 2.2 and 2.6 a second got 21 requests
- * within 4 s, 18 and 21 being allowed. Order of events: an endpoint's answers
- * carry the field from some moment on; the boxes pass it back to callers and
- * choose as before. Cause: nothing read it. Evidence: each was overrun by first
- * attempts of one box alone, at the rate that it had before. */
+ * Guards against limits that are not followed: endpoints that set limits of 2.2
+ * and 2.6 a second got 21 requests within 4 s, 18 and 21 being allowed. The
+ * boxes forwarded the field to callers but did not read it, and chose endpoints
+ * as before. Each endpoint was overrun by first attempts of one box alone, at
+ * the rate that it had before. */
 #include "limit_play.h"
 #include "shift_fake.h"
 
@@ -21,7 +20,7 @@
     (void)state;
     for (size_t i = 0; i < WP_COUNT(bad); i++)
         if (wp_limit_parse(wp_str(bad[i]), 1).status != WP_LIMIT_FIELD_INVALID)
-            fail_msg("'%s' was taken", bad[i]);
+            fail_msg("'%s' was accepted", bad[i]);
     const WPLimitField f = wp_limit_parse(wp_str(" 2.25 "), 1);
     assert_int_equal(f.status, WP_LIMIT_FIELD_PRESENT);
     assert_true(f.per_s == 2.25);
@@ -30,14 +29,14 @@
     assert_int_equal(wp_limit_parse(wp_str(""), 0).status, WP_LIMIT_FIELD_NONE);
 }
 
-/* Whole requests in a window that is no shorter than the platform's, but for
-   limits that are no matter; an endpoint that takes next to nothing is asked
-   now and then all the same. */
-static void windows_hold_what_the_limit_takes(void **state)
+/* A window counts whole requests and is no shorter than the platform's, except
+   for limits too high to matter. An endpoint with a tiny limit still gets a
+   request every 10 s. */
+static void windows_match_the_limit(void **state)
 {
     static const struct {
         double per_s;
-        unsigned part;
+        unsigned requests;
     } rows[] = { { 0.001, 1 }, { 0.4, 2 }, { 2.2, 9 }, { 8, 32 }, { 1e4, 64 } };
     const WPTime now = { 1000000, 0 };
     (void)state;
@@ -46,7 +45,7 @@
         wp_limit_set(&l, now, rows[i].per_s);
         const WPLimitWindow w = wp_limit_window(&l, now);
         double rate = (double)w.requests * WP_US_PER_S / (double)w.length_us;
-        assert_int_equal(w.requests, rows[i].part);
+        assert_int_equal(w.requests, rows[i].requests);
         assert_true(w.length_us <= 10 * WP_US_PER_S);
         assert_true(fabs(rate - MAX(rows[i].per_s, 0.1)) < 0.01 * rate);
     }
@@ -61,17 +60,18 @@
         for (unsigned i = 0; i < n; i++)
             all[i] =
                 (WPShare){ i * 77 + 5, n % 2 ? 1 : g_rand_int_range(r, 0, 9) };
-        for (unsigned part = 1; part <= 64; part += 9) {
+        for (unsigned requests = 1; requests <= 64; requests += 9) {
             unsigned sum = 0;
             for (unsigned i = 0; i < n; i++)
-                sum += wp_share_of(all, n, i, part, 42);
-            assert_int_equal(sum, part);
+                sum += wp_share_of(all, n, i, requests, 42);
+            assert_int_equal(sum, requests);
         }
     }
     g_rand_free(r);
 }
 
-static void tell_sent(Fake *k, const char *id, double per_s, int64_t sent_us)
+static void report_limit_sent_at(Fake *k, const char *id, double per_s,
+                                 int64_t sent_us)
 {
     const WPLimitReport seen = {
         { per_s > 0 ? WP_LIMIT_FIELD_PRESENT : WP_LIMIT_FIELD_NONE, per_s },
@@ -82,84 +82,88 @@
                           &seen);
 }
 
-static void tell(Fake *k, const char *id, double per_s)
+static void report_limit(Fake *k, const char *id, double per_s)
 {
-    tell_sent(k, id, per_s, k->now.mono_us);
+    report_limit_sent_at(k, id, per_s, k->now.mono_us);
 }
 
-static const char *ask_once(Fake *k, WPMove *m)
+static const char *serve_once(Fake *k, WPMove *m)
 {
     return fake_serve(k, "/safe/x", m);
 }
 
-enum { ASK_EVERY_MS = 20 };
+enum { REQUEST_INTERVAL_MS = 20 };
 
-/* Requests for some time, fifty a second; how many reach the endpoint. */
-static unsigned ask_for(Fake *k, int64_t ms, const char *id)
+/* Sends fifty requests a second for `ms`; returns how many reach the endpoint
+   `id`. */
+static unsigned count_served(Fake *k, int64_t ms, const char *id)
 {
     unsigned n = 0;
     WPMove m;
-    for (int64_t t = 0; t < ms; t += ASK_EVERY_MS) {
-        n += !strcmp(ask_once(k, &m), id);
-        fake_pass(k, ASK_EVERY_MS);
+    for (int64_t t = 0; t < ms; t += REQUEST_INTERVAL_MS) {
+        n += !strcmp(serve_once(k, &m), id);
+        fake_advance(k, REQUEST_INTERVAL_MS);
     }
     return n;
 }
 
-static void one_endpoint_is_kept_to_its_limit(void **state)
+static void endpoint_gets_no_more_than_its_limit(void **state)
 {
     Fake k;
     (void)state;
     fake_init(&k);
-    tell(&k, "a1", LIMIT);
-    /* 22 in ten seconds, and others take the rest. */
-    assert_in_range(ask_for(&k, 10000, "a1"), 18, 23);
+    report_limit(&k, "a1", LIMIT);
+    /* 22 requests in ten seconds; the other endpoint takes the rest. */
+    assert_in_range(count_served(&k, 10000, "a1"), 18, 23);
     for (int i = 0; i < 5; i++)
-        assert_in_range(ask_for(&k, 4000, "a1"), 7, 10);
+        assert_in_range(count_served(&k, 4000, "a1"), 7, 10);
     fake_end(&k);
 }
 
-/* What looks slow for some answers of a busy moment is used all the same, as
-   what gets little is hardly measured anew. */
-static void a_slow_moment_does_not_leave_it_unused(void **state)
+/* An endpoint that looks slow after a busy moment is still used up to its
+   limit: with few requests its latency is hardly measured again. */
+static void slow_endpoint_is_used_up_to_its_limit(void **state)
 {
     Fake k;
     (void)state;
     fake_init(&k);
-    tell(&k, "a1", LIMIT);
+    report_limit(&k, "a1", LIMIT);
     wp_fleet_find(k.d.fleet, "a1")->latency_ratio = 5;
-    assert_in_range(ask_for(&k, 10000, "a1"), 18, 23);
+    assert_in_range(count_served(&k, 10000, "a1"), 18, 23);
     fake_end(&k);
 }
 
-/* Refused at once, with the time when a place comes free, and not all callers
-   in the same instant; the line tells which limit was met. */
-static void what_finds_no_place_is_refused_at_once(void **state)
+/* When all endpoints are at their limits, a request is refused at once with the
+   time until one may be sent, which differs so that not all callers retry in
+   the same instant. The log line names the limit that was reached. */
+static void requests_above_all_limits_are_refused_at_once(void **state)
 {
     uint32_t last_ms = 0;
     WPMove m;
     Fake k;
     (void)state;
     fake_init(&k);
-    tell(&k, "a1", LIMIT);
-    tell(&k, "a2", LIMIT);
-    fake_pass(&k, 5000);
-    assert_string_not_equal(ask_once(&k, &m), "endpoints_limited");
-    assert_string_not_equal(ask_once(&k, &m), "endpoints_limited");
+    report_limit(&k, "a1", LIMIT);
+    report_limit(&k, "a2", LIMIT);
+    fake_advance(&k, 5000);
+    assert_string_not_equal(serve_once(&k, &m), "endpoints_limited");
+    assert_string_not_equal(serve_once(&k, &m), "endpoints_limited");
     for (int i = 0; i < 5; i++) {
-        assert_string_equal(ask_once(&k, &m), "endpoints_limited");
+        assert_string_equal(serve_once(&k, &m), "endpoints_limited");
         assert_true(wp_fleet_limit_of(m.barred) == LIMIT);
         assert_true(m.retry_ms > last_ms);
         last_ms = m.retry_ms;
     }
-    /* Both take 4.4 a second; the first place is free after half of that. */
+    /* Both endpoints together take 4.4 requests a second, so the retry times
+       are 227 ms apart, half of one endpoint's interval; the first is after
+       that time. */
     assert_in_range(last_ms, 500, 1500);
     fake_end(&k);
 }
 
-/* Of two classes with the same requests the more urgent one is served more, and
-   the other one is not left out. */
-static void the_more_urgent_have_the_few_places(void **state)
+/* Of two priorities with the same number of requests, the more urgent one is
+   served more, and the other one is not starved. */
+static void urgent_requests_get_most_of_a_limit(void **state)
 {
     unsigned urgent = 0, other = 0;
     WPMove m;
@@ -171,15 +175,15 @@
     late->max_attempts = 2;
     late->priority = 2;
     wp_route_add_target(k.d.routes, late, "app", 1);
-    tell(&k, "a1", 3);
-    tell(&k, "a2", 3);
+    report_limit(&k, "a1", 3);
+    report_limit(&k, "a2", 3);
     GRand *r = g_rand_new_with_seed(1);
     for (int i = 0; i < 2000; i++) {
         if (g_rand_boolean(r))
-            urgent += ask_once(&k, &m)[0] == 'a';
+            urgent += serve_once(&k, &m)[0] == 'a';
         else
             other += fake_serve(&k, "/late/x", &m)[0] == 'a';
-        fake_pass(&k, ASK_EVERY_MS / 2);
+        fake_advance(&k, REQUEST_INTERVAL_MS / 2);
     }
     g_rand_free(r);
     assert_in_range(urgent + other, 100, 126);
@@ -188,46 +192,47 @@
     fake_end(&k);
 }
 
-static void its_share_comes_back_within_seconds(void **state)
+static void share_returns_within_seconds_after_a_limit(void **state)
 {
     Fake k;
     (void)state;
     fake_init(&k);
-    tell(&k, "a1", LIMIT);
-    ask_for(&k, 8000, "a1");
-    tell(&k, "a1", 0);
-    /* Not all at once. */
-    assert_in_range(ask_for(&k, 500, "a1"), 0, 4);
-    ask_for(&k, 2500, "a1");
-    assert_true(ask_for(&k, 2000, "a1") > 20);
+    report_limit(&k, "a1", LIMIT);
+    count_served(&k, 8000, "a1");
+    report_limit(&k, "a1", 0);
+    /* The rate is not raised in one step. */
+    assert_in_range(count_served(&k, 500, "a1"), 0, 4);
+    count_served(&k, 2500, "a1");
+    assert_true(count_served(&k, 2000, "a1") > 20);
     fake_end(&k);
 }
 
-/* An answer to a request that was sent before may be older than what another
-   box has told. */
-static void old_answers_end_and_raise_nothing(void **state)
+/* An answer to a request that was sent earlier may be older than the limit that
+   another box has sent: it neither ends nor raises that limit. */
+static void older_answers_neither_end_nor_raise_a_limit(void **state)
 {
     Fake k;
     (void)state;
     fake_init(&k);
     const WPReplica *s = wp_fleet_find(k.d.fleet, "a1");
     int64_t before_us = k.now.mono_us;
-    fake_pass(&k, 100);
+    fake_advance(&k, 100);
     const WPLimitUpdate n = { s->incarnation_hash, LIMIT, 5, 99 };
     assert_non_null(wp_fleet_merge_limit(k.d.fleet, k.now, &n));
-    tell_sent(&k, "a1", 0, before_us);
+    report_limit_sent_at(&k, "a1", 0, before_us);
     assert_true(wp_fleet_limit_of(s) == LIMIT);
-    tell_sent(&k, "a1", 8, before_us);
+    report_limit_sent_at(&k, "a1", 8, before_us);
     assert_true(wp_fleet_limit_of(s) == LIMIT);
-    tell_sent(&k, "a1", 1, before_us); /* less is taken: nothing is risked */
+    /* A lower limit is applied, as that is safe. */
+    report_limit_sent_at(&k, "a1", 1, before_us);
     assert_true(wp_fleet_limit_of(s) == 1);
-    fake_pass(&k, 100);
-    tell(&k, "a1", 0);
+    fake_advance(&k, 100);
+    report_limit(&k, "a1", 0);
     assert_true(wp_fleet_limit_of(s) == 0);
     fake_end(&k);
 }
 
-static void what_is_no_limit_ends_the_one_before(void **state)
+static void invalid_limit_ends_the_previous_one(void **state)
 {
     const WPLimitReport bad = { { WP_LIMIT_FIELD_INVALID, 0 },
                                 true,
@@ -243,8 +248,8 @@
                      WP_LIMIT_REPORT_INVALID);
     assert_int_equal(wp_fleet_record_limit(k.d.fleet, s, k.now, &bad),
                      WP_LIMIT_UNCHANGED);
-    tell(&k, "a1", LIMIT);
-    /* An answer without the endpoint's mark ends nothing. */
+    report_limit(&k, "a1", LIMIT);
+    /* An answer without the endpoint's seal does not end the limit. */
     assert_int_equal(wp_fleet_record_limit(k.d.fleet, s, k.now, &forged),
                      WP_LIMIT_UNCHANGED);
     assert_true(wp_fleet_limit_of(s) == LIMIT);
@@ -254,26 +259,27 @@
     fake_end(&k);
 }
 
-/* One that takes next to nothing is asked whether it still says so. */
-static void a_tiny_limit_starves_nothing_for_long(void **state)
+/* An endpoint with a tiny limit still gets a request now and then, whose answer
+   tells whether it still sets the limit. */
+static void tiny_limit_does_not_starve_an_endpoint(void **state)
 {
     Fake k;
     (void)state;
     fake_init(&k);
-    tell(&k, "a1", 0.0001);
-    assert_in_range(ask_for(&k, 30000, "a1"), 2, 4);
-    tell(&k, "a1", 0);
-    ask_for(&k, 3000, "a1");
-    assert_true(ask_for(&k, 1000, "a1") > 5);
+    report_limit(&k, "a1", 0.0001);
+    assert_in_range(count_served(&k, 30000, "a1"), 2, 4);
+    report_limit(&k, "a1", 0);
+    count_served(&k, 3000, "a1");
+    assert_true(count_served(&k, 1000, "a1") > 5);
     fake_end(&k);
 }
 
-static void a_new_life_names_its_own(void **state)
+static void new_incarnation_has_no_limit(void **state)
 {
     Fake k;
     (void)state;
     fake_init(&k);
-    tell(&k, "a1", LIMIT);
+    report_limit(&k, "a1", LIMIT);
     WPRegistryEntry l = { .id = "a1",
                           .service = "app",
                           .addr = "127.0.0.1:1",
@@ -283,12 +289,13 @@
                           .born_ms = 5 };
     wp_fleet_put(k.d.fleet, k.now, &l);
     assert_true(wp_fleet_limit_of(wp_fleet_find(k.d.fleet, "a1")) == 0);
-    assert_true(ask_for(&k, 1000, "a1") > 10);
+    assert_true(count_served(&k, 1000, "a1") > 10);
     fake_end(&k);
 }
 
-/* A process that starts hears the limits before it has read the list. */
-static void a_limit_is_known_before_its_endpoint(void **state)
+/* A starting process receives the limits from other boxes before it has read
+   the registry. */
+static void limit_is_known_before_its_endpoint(void **state)
 {
     Fake k;
     (void)state;
@@ -300,8 +307,8 @@
     fake_end(&k);
 }
 
-/* Two boxes that pass on what is new to them fall silent. */
-static void news_of_limits_comes_to_rest(void **state)
+/* Two boxes that relay what is new to them stop sending once both know it. */
+static void limit_updates_converge(void **state)
 {
     WPLimitUpdate n[4];
     Fake a, b;
@@ -310,8 +317,8 @@
     fake_init(&b);
     const WPPaceBox name = { 12345, "z1" };
     wp_fleet_set_boxes(b.d.fleet, &name, NULL, 0, 2);
-    tell(&a, "a1", LIMIT);
-    tell(&b, "a1", 3); /* at the same time: one of them holds at both */
+    report_limit(&a, "a1", LIMIT);
+    report_limit(&b, "a1", 3); /* at the same time: one limit wins at both */
     unsigned rounds = 0;
     for (; rounds < 10; rounds++) {
         size_t from_a = wp_fleet_take_unsent_limits(a.d.fleet, a.now, n, 4);
@@ -323,8 +330,8 @@
         if (!from_a && !from_b && !wp_fleet_has_unsent_limits(a.d.fleet) &&
             !wp_fleet_has_unsent_limits(b.d.fleet))
             break;
-        fake_pass(&a, 300);
-        fake_pass(&b, 300);
+        fake_advance(&a, 300);
+        fake_advance(&b, 300);
     }
     assert_in_range(rounds, 1, 4);
     assert_true(wp_fleet_limit_of(wp_fleet_find(a.d.fleet, "a1")) ==
@@ -333,38 +340,38 @@
     fake_end(&b);
 }
 
-/* While a service moves, limits of the old version's endpoints do not send its
-   requests to the new one. */
-static void limits_do_not_hurry_a_move(void **state)
+/* During a traffic shift, limits of the old version's endpoints do not divert
+   requests to the new version. */
+static void limits_do_not_speed_up_a_shift(void **state)
 {
     unsigned to_new = 0, refused = 0;
     WPMove m;
     Fake k;
     (void)state;
     fake_init(&k);
-    WPShift *sh = order(&k);
-    look_on(&k, sh, LEAD_MS);
-    tell(&k, "l1", LIMIT);
-    tell(&k, "l2", LIMIT);
+    WPShift *sh = start_shift(&k);
+    poll_for(&k, sh, LEAD_MS);
+    report_limit(&k, "l1", LIMIT);
+    report_limit(&k, "l2", LIMIT);
     for (int i = 0; i < 300; i++) {
         const char *what = fake_serve(&k, "/chat/x", &m);
         to_new += what[0] == 'n';
         refused += !strcmp(what, "endpoints_limited");
-        fake_pass(&k, ASK_EVERY_MS);
+        fake_advance(&k, REQUEST_INTERVAL_MS);
     }
-    assert_in_range(to_new, 15, 60); /* a tenth are its own */
+    assert_in_range(to_new, 15, 60); /* a tenth of the requests is its share */
     assert_true(refused > 200);
     fake_end(&k);
 }
 
-/* A repeat, a better answer and a resumed stream reach an endpoint by the same
-   way as a first request. */
-static void repeats_count_as_well(void **state)
+/* Retries, escalations and resumed streams are sent to an endpoint in the same
+   way as first attempts, and so count as well. */
+static void retries_count_as_well(void **state)
 {
     Fake k;
     (void)state;
     fake_init(&k);
-    tell(&k, "a2", LIMIT);
+    report_limit(&k, "a2", LIMIT);
     const WPReplica *s = wp_fleet_find(k.d.fleet, "a2");
     for (int i = 0; i < 200; i++) {
         WPDirectAnswer bad = fake_answer(500, -1);
@@ -373,17 +380,19 @@
         for (int n = 0; n < 3 && m.kind == WP_MOVE_SEND; n++)
             wp_flow_answer(f, k.now, &bad, &m);
         wp_flow_free(f);
-        fake_pass(&k, ASK_EVERY_MS);
+        fake_advance(&k, REQUEST_INTERVAL_MS);
     }
     assert_in_range(s->reported.limit->own_send_count, 5, 10);
     fake_end(&k);
 }
 
-/* The rule and the aim, in virtual time, wherever callers come to. */
-static void check_play(const LimitPlan *p, double used_least)
+/* Runs the simulation and checks the platform's rule (no endpoint gets more
+   than is allowed) and the target (the used part of all limits is at least
+   `min_used`), whichever boxes callers come to. */
+static void check_simulation(const LimitPlan *p, double min_used)
 {
     const LimitSums s = limit_play(p);
-    if (s.over || s.used < used_least)
+    if (s.over || s.used < min_used)
         fail_msg("%u boxes, callers %d, trouble %d: most %u of %u, used %.2f",
                  p->boxes, (int)p->callers, (int)p->trouble, s.most,
                  limit_allowed(p->per_s), s.used);
@@ -400,8 +409,8 @@
               { 100, 30, 3, 400 },
               { 300, 30, 3, 600 } };
 
-/* The largest one takes a second and more a play. */
-enum { SITES_QUICK = WP_COUNT(sites) - 1 };
+/* All sites but the largest, whose simulation takes over a second. */
+enum { QUICK_SITES = WP_COUNT(sites) - 1 };
 
 static LimitPlan plan_of(size_t site, double limited, double per_s)
 {
@@ -415,60 +424,60 @@
                         .seed = 1 };
 }
 
-/* Without limits kept to, one of 24 endpoints before twelve boxes got 67 in 4 s
-   where 23 are allowed. */
-static void the_rule_holds_over_all_boxes(void **state)
+/* Where limits were ignored, one of 24 endpoints behind twelve boxes got 67
+   requests in 4 s; 23 are allowed. */
+static void limits_hold_over_all_boxes(void **state)
 {
     (void)state;
     for (size_t i = 0; i < WP_COUNT(sites); i++)
         for (LimitCallers c = 0; c < LIMIT_CALLERS_COUNT; c++) {
             LimitPlan p = plan_of(i, 1, 3);
             p.callers = c;
-            if (i < SITES_QUICK || c <= LIMIT_ONE_BOX)
-                check_play(&p, 0.8);
+            if (i < QUICK_SITES || c <= LIMIT_ONE_BOX)
+                check_simulation(&p, 0.8);
         }
 }
 
-static void others_are_served_while_there_is_room(void **state)
+static void requests_are_served_while_there_is_capacity(void **state)
 {
     (void)state;
-    for (size_t i = 0; i < SITES_QUICK; i++) {
+    for (size_t i = 0; i < QUICK_SITES; i++) {
         LimitPlan few = plan_of(i, 0.2, LIMIT);
         LimitPlan one = plan_of(i, 0.04, 0.4);
-        check_play(&few, 0.8);
-        check_play(&one, 0.8);
+        check_simulation(&few, 0.8);
+        check_simulation(&one, 0.8);
     }
 }
 
-/* Isolated boxes are left out at 100 and 300: what they send before an endpoint
-   has told each of them is not held against them by the rule. */
-static void the_rule_holds_in_trouble(void **state)
+/* Isolated boxes are not simulated at 100 and 300 boxes: the rule does not
+   count what they send before an endpoint has told each of them its limit. */
+static void limits_hold_during_faults(void **state)
 {
     (void)state;
     for (size_t i = 0; i < WP_COUNT(sites); i++)
         for (LimitTrouble t = LIMIT_KILLS; t < LIMIT_TROUBLES_COUNT; t++) {
             LimitPlan p = plan_of(i, 1, 3);
             p.trouble = t;
-            if (i < SITES_QUICK ? t != LIMIT_DEAF || p.boxes <= 12
+            if (i < QUICK_SITES ? t != LIMIT_DEAF || p.boxes <= 12
                                 : t == LIMIT_KILLS)
-                check_play(&p, 0.75);
+                check_simulation(&p, 0.75);
         }
 }
 
 static void a_lower_limit_holds_at_once(void **state)
 {
     (void)state;
-    for (size_t i = 0; i < SITES_QUICK; i++) {
+    for (size_t i = 0; i < QUICK_SITES; i++) {
         LimitPlan p = plan_of(i, 0.3, 8);
         p.then_per_s = 2;
-        check_play(&p, 0.6);
+        check_simulation(&p, 0.6);
     }
 }
 
-static void after_its_end_the_work_is_back(void **state)
+static void load_returns_after_a_limit(void **state)
 {
     (void)state;
-    for (size_t i = 0; i < SITES_QUICK; i++) {
+    for (size_t i = 0; i < QUICK_SITES; i++) {
         LimitPlan p = plan_of(i, 0.2, LIMIT);
         p.then_per_s = 0;
         const LimitSums s = limit_play(&p);
@@ -478,18 +487,19 @@
 }
 
 TESTS_MAIN(T(only_positive_decimal_numbers_are_limits),
-           T(windows_hold_what_the_limit_takes), T(shares_add_up),
-           T(one_endpoint_is_kept_to_its_limit),
-           T(a_slow_moment_does_not_leave_it_unused),
-           T(what_finds_no_place_is_refused_at_once),
-           T(the_more_urgent_have_the_few_places),
-           T(its_share_comes_back_within_seconds),
-           T(old_answers_end_and_raise_nothing),
-           T(what_is_no_limit_ends_the_one_before),
-           T(a_tiny_limit_starves_nothing_for_long),
-           T(a_new_life_names_its_own), T(a_limit_is_known_before_its_endpoint),
-           T(news_of_limits_comes_to_rest), T(limits_do_not_hurry_a_move),
-           T(repeats_count_as_well), T(the_rule_holds_over_all_boxes),
-           T(others_are_served_while_there_is_room),
-           T(the_rule_holds_in_trouble), T(a_lower_limit_holds_at_once),
-           T(after_its_end_the_work_is_back))
+           T(windows_match_the_limit), T(shares_add_up),
+           T(endpoint_gets_no_more_than_its_limit),
+           T(slow_endpoint_is_used_up_to_its_limit),
+           T(requests_above_all_limits_are_refused_at_once),
+           T(urgent_requests_get_most_of_a_limit),
+           T(share_returns_within_seconds_after_a_limit),
+           T(older_answers_neither_end_nor_raise_a_limit),
+           T(invalid_limit_ends_the_previous_one),
+           T(tiny_limit_does_not_starve_an_endpoint),
+           T(new_incarnation_has_no_limit),
+           T(limit_is_known_before_its_endpoint), T(limit_updates_converge),
+           T(limits_do_not_speed_up_a_shift), T(retries_count_as_well),
+           T(limits_hold_over_all_boxes),
+           T(requests_are_served_while_there_is_capacity),
+           T(limits_hold_during_faults), T(a_lower_limit_holds_at_once),
+           T(load_returns_after_a_limit))
--- a/tests/test_mirror.c
+++ b/tests/test_mirror.c
@@ -250,12 +250,12 @@
     fake_init(&k);
     wp_fleet_remove(k.d.fleet, k.now, "a1", true);
     assert_int_equal(app_endpoints(&k), 2);
-    fake_pass(&k, 1500);
+    fake_advance(&k, 1500);
     fake_put(&k, "a1", "app", "v1", false);
-    fake_pass(&k, 3000);
+    fake_advance(&k, 3000);
     assert_int_equal(app_endpoints(&k), 2);
     wp_fleet_remove(k.d.fleet, k.now, "a1", true);
-    fake_pass(&k, 3000);
+    fake_advance(&k, 3000);
     assert_int_equal(app_endpoints(&k), 1);
     wp_fleet_remove(k.d.fleet, k.now, "a2", false);
     assert_int_equal(app_endpoints(&k), 0);
@@ -280,7 +280,7 @@
         wp_replica_unref(s);
     }
     assert_int_equal(bad, 0);
-    fake_pass(&k, 20000);
+    fake_advance(&k, 20000);
     for (int i = 0; i < 100; i++) {
         WPReplica *s = wp_fleet_choose(k.d.fleet, k.now, &w);
         bad += s == a1;
--- a/tests/test_pace.c
+++ b/tests/test_pace.c
@@ -1,9 +1,10 @@
-/* Requests to endpoints that have just started: the bound on what reaches one
- * within a second, by all boxes together. */
+/* Cold-start pacing of endpoints that have just started: the bound on requests
+ * that reach one of them within a second, from all boxes together. */
 #include "direct_fake.h"
 #include "pace_play.h"
 
-/* 18 a second, half as many again and five besides. */
+/* 18 requests a second, an overshoot of half as many again, and a slack of
+   five. */
 static const WPPaceRules rules = { 18, 1.5, 5 };
 
 enum { BOUND = 32, SEEDS = 3 };
@@ -23,10 +24,11 @@
                        .per_endpoint = 30 };
 }
 
-/* Whatever the boxes know of each other, whatever they prefer, and under four
-   times the load that endpoints usually have. Without pacing 7,800 reached one
-   of 1,000 endpoints before 300 boxes, with a part of the bound for each box
-   100 (bench/wppace). */
+/* The bound holds whatever the boxes know of each other, whichever endpoints
+   they prefer, and under four times the load that endpoints usually have.
+   Without pacing, 7,800 requests reached one of 1,000 endpoints behind 300
+   boxes; with an equal part of the bound for each box, 100 did
+   (bench/wppace). */
 static void the_bound_holds_over_all_boxes(void **state)
 {
     (void)state;
@@ -41,21 +43,22 @@
             }
 }
 
-static void without_pacing_it_does_not(void **state)
+static void bound_is_exceeded_without_pacing(void **state)
 {
     const PacePlan p = plan_of(2, PACE_ALL_KNOWN, true, 1);
     (void)state;
     assert_true(pace_play(&p, &pace_none).most > BOUND);
 }
 
-/* The usual load stays in its zone from the beginning. */
-static void a_zone_that_starts_carries_its_load(void **state)
+/* At the usual load, a zone whose endpoints have all just started serves its
+   own requests from the beginning. */
+static void starting_zone_carries_its_load(void **state)
 {
     (void)state;
     for (size_t i = 1; i < WP_COUNT(sizes); i++) {
         PacePlan p = plan_of(i, PACE_ALL_KNOWN, false, 1);
         p.per_endpoint = 7;
-        p.endpoints = MAX(4, p.boxes * 4); /* each box has some to itself */
+        p.endpoints = MAX(4, p.boxes * 4); /* some for each box alone */
         const PaceSums s = pace_play(&p, &pace_owners);
         assert_in_range(s.carries_ms, 1, 500);
         assert_true(s.elsewhere < 0.1);
@@ -88,12 +91,13 @@
     (void)state;
     for (unsigned n = 2; n <= 120; n++)
         assert_int_equal(sum_of_quotas(n, "z0"), BOUND / 2);
-    /* All are far from a zone that has no box. */
+    /* All boxes are remote from a zone that has no box. */
     assert_int_equal(sum_of_quotas(40, "z9"), BOUND / 2);
 }
 
-/* A box that knows of others without knowing them leaves them their part. */
-static void boxes_that_are_not_known_are_counted(void **state)
+/* A box that knows only how many other boxes there are leaves them their part
+   of the quota. */
+static void unknown_boxes_are_counted(void **state)
 {
     const WPPaceBox self = { 1, "z0" };
     WPPaceBoxes b;
@@ -106,17 +110,17 @@
     wp_pace_boxes_end(&b);
 }
 
-static const WPRegistryEntry cold_listing = { .id = "l1",
-                                              .service = "llm",
-                                              .addr = "127.0.0.1:1",
-                                              .zone = "z1",
-                                              .version = "v1",
-                                              .slots = 8,
-                                              .cold_left_ms = 3000 };
+static const WPRegistryEntry cold_entry = { .id = "l1",
+                                            .service = "llm",
+                                            .addr = "127.0.0.1:1",
+                                            .zone = "z1",
+                                            .version = "v1",
+                                            .slots = 8,
+                                            .cold_left_ms = 3000 };
 
-/* The list of services asks for pacing, one endpoint is cold, and this box is
-   one of eight. */
-static WPReplica *begin(Fake *k)
+/* Sets up a service that needs pacing, with one cold endpoint, at this box,
+   which is one of eight. Returns the endpoint. */
+static WPReplica *init_cold(Fake *k)
 {
     const WPPaceBox self = { 1, "z1" };
     fake_init(k);
@@ -126,134 +130,138 @@
     wp_fleet_set_boxes(k->d.fleet, &self, NULL, 0, 8);
     wp_fleet_set_cold_rule(k->d.fleet, "llm", 18, 3);
     wp_fleet_remove(k->d.fleet, k->now, "l2", false);
-    fake_pass(k, WP_PACE_WINDOW_MS);
-    wp_fleet_put(k->d.fleet, k->now, &cold_listing);
+    fake_advance(k, WP_PACE_WINDOW_MS);
+    wp_fleet_put(k->d.fleet, k->now, &cold_entry);
     return wp_fleet_find(k->d.fleet, "l1");
 }
 
-/* The same, and the endpoint is warm by now. */
-static WPReplica *begin_warm(Fake *k)
+/* The same with a warm endpoint. */
+static WPReplica *init_warm(Fake *k)
 {
-    WPReplica *s = begin(k);
+    WPReplica *s = init_cold(k);
     s->reported.cold_until_us = 0;
     assert_false(wp_fleet_is_cold(s, k->now));
     return s;
 }
 
-static const char *ask_once(Fake *k, WPMove *m)
+static const char *serve_once(Fake *k, WPMove *m)
 {
     return fake_serve(k, "/chat/x", m);
 }
 
-static void a_cold_endpoint_gets_this_boxs_quota(void **state)
+static void cold_endpoint_gets_this_boxs_quota(void **state)
 {
     WPMove m;
     Fake k;
     (void)state;
-    begin(&k);
-    assert_string_equal(ask_once(&k, &m), "l1");
-    assert_string_equal(ask_once(&k, &m), "l1");
-    /* Refused at once, to come back when the window is over. */
-    assert_string_equal(ask_once(&k, &m), "endpoints_starting");
+    init_cold(&k);
+    assert_string_equal(serve_once(&k, &m), "l1");
+    assert_string_equal(serve_once(&k, &m), "l1");
+    /* The next one is refused at once, to be retried when the window is
+       over. */
+    assert_string_equal(serve_once(&k, &m), "endpoints_starting");
     assert_in_range(m.retry_ms, 1000, 1200);
-    fake_pass(&k, m.retry_ms);
-    assert_string_equal(ask_once(&k, &m), "l1");
-    /* Others take the rest. */
+    fake_advance(&k, m.retry_ms);
+    assert_string_equal(serve_once(&k, &m), "l1");
+    /* Another endpoint takes the rest. */
     fake_put(&k, "l3", "llm", "v1", false);
     for (int i = 0; i < 20; i++)
-        assert_string_equal(ask_once(&k, &m), "l3");
-    fake_pass(&k, 3000);
-    unsigned back = 0;
+        assert_string_equal(serve_once(&k, &m), "l3");
+    fake_advance(&k, 3000);
+    unsigned returned = 0;
     for (int i = 0; i < 40; i++)
-        back += !strcmp(ask_once(&k, &m), "l1");
-    assert_true(back > 2);
+        returned += !strcmp(serve_once(&k, &m), "l1");
+    assert_true(returned > 2);
     fake_end(&k);
 }
 
-/* What the process before it has sent is not known. */
-static void a_box_that_starts_waits_for_a_window(void **state)
+/* A restarted box does not know what its previous process has sent, so it waits
+   for one window. */
+static void restarted_box_waits_for_a_window(void **state)
 {
     WPMove m;
     Fake k;
     (void)state;
-    begin(&k);
-    WPFleet *had = k.d.fleet;
+    init_cold(&k);
+    WPFleet *old_fleet = k.d.fleet;
     k.d.fleet = wp_fleet_new(1);
     wp_fleet_set_rules(k.d.fleet, &k.d.rules.fleet);
     wp_fleet_set_cold_rule(k.d.fleet, "llm", 18, 3);
-    wp_fleet_put(k.d.fleet, k.now, &cold_listing);
-    assert_string_equal(ask_once(&k, &m), "endpoints_starting");
+    wp_fleet_put(k.d.fleet, k.now, &cold_entry);
+    assert_string_equal(serve_once(&k, &m), "endpoints_starting");
     assert_in_range(m.retry_ms, 1000, 1200);
-    fake_pass(&k, m.retry_ms);
-    assert_string_equal(ask_once(&k, &m), "l1");
-    wp_fleet_free(had);
+    fake_advance(&k, m.retry_ms);
+    assert_string_equal(serve_once(&k, &m), "l1");
+    wp_fleet_free(old_fleet);
     fake_end(&k);
 }
 
 /* The configuration may change the bound while an endpoint is cold. */
-static void another_bound_holds_at_once(void **state)
+static void changed_bound_applies_at_once(void **state)
 {
     WPMove m;
     Fake k;
     (void)state;
-    begin(&k);
-    assert_string_equal(ask_once(&k, &m), "l1");
+    init_cold(&k);
+    assert_string_equal(serve_once(&k, &m), "l1");
     wp_fleet_set_cold_rule(k.d.fleet, "llm", 60, 3);
     for (int i = 0; i < 5; i++)
-        assert_string_equal(ask_once(&k, &m), "l1");
-    assert_string_equal(ask_once(&k, &m), "endpoints_starting");
+        assert_string_equal(serve_once(&k, &m), "l1");
+    assert_string_equal(serve_once(&k, &m), "endpoints_starting");
     fake_end(&k);
 }
 
-/* Services that tell no bound are left alone. */
-static void other_services_are_not_paced(void **state)
+/* Services without a bound are not paced. */
+static void services_without_a_bound_are_not_paced(void **state)
 {
     WPMove m;
     Fake k;
     (void)state;
-    begin(&k);
+    init_cold(&k);
     wp_fleet_set_cold_rule(k.d.fleet, "llm", 0, 3);
     for (int i = 0; i < 20; i++)
-        assert_string_equal(ask_once(&k, &m), "l1");
+        assert_string_equal(serve_once(&k, &m), "l1");
     fake_end(&k);
 }
 
-/* It may have started again, and the list cannot tell. */
-static void what_comes_back_after_silence_is_taken_for_cold(void **state)
+/* An endpoint that answers again after a silence may have restarted, which the
+   registry cannot show. */
+static void endpoint_that_answers_after_silence_counts_as_cold(void **state)
 {
     Fake k;
     (void)state;
-    WPReplica *s = begin_warm(&k);
+    WPReplica *s = init_warm(&k);
     wp_fleet_request_ended(s, k.now, WP_OUTCOME_NO_RESPONSE);
     wp_fleet_request_ended(s, k.now, WP_OUTCOME_NO_RESPONSE);
-    fake_pass(&k, 10000);
+    fake_advance(&k, 10000);
     assert_false(wp_fleet_is_cold(s, k.now));
     wp_fleet_request_ended(s, k.now, WP_OUTCOME_OK);
     assert_true(wp_fleet_is_cold(s, k.now));
-    fake_pass(&k, 3001);
+    fake_advance(&k, 3001);
     assert_false(wp_fleet_is_cold(s, k.now));
     fake_end(&k);
 }
 
-/* Nor can the list tell at once of one whose connections have ended. */
-static void lost_resting_connections_are_a_sign_of_a_start(void **state)
+/* Nor can the registry show at once that an endpoint has restarted whose
+   connections were closed. */
+static void lost_idle_connections_suggest_a_restart(void **state)
 {
     Fake k;
     (void)state;
-    WPReplica *s = begin_warm(&k);
+    WPReplica *s = init_warm(&k);
     wp_fleet_idle_connection_lost(s, k.now);
     assert_true(wp_fleet_is_cold(s, k.now));
-    fake_pass(&k, 3001);
+    fake_advance(&k, 3001);
     assert_false(wp_fleet_is_cold(s, k.now));
     fake_end(&k);
 }
 
-/* All of a zone that an operator brings back may be cold. */
-static void a_zone_that_is_back_is_taken_for_cold(void **state)
+/* All endpoints of a zone may be cold when an operator ends its evacuation. */
+static void zone_counts_as_cold_after_evacuation(void **state)
 {
     Fake k;
     (void)state;
-    WPReplica *s = begin_warm(&k);
+    WPReplica *s = init_warm(&k);
     wp_fleet_set_zone_evacuated(k.d.fleet, k.now, "z1", true);
     assert_false(wp_fleet_is_cold(s, k.now));
     wp_fleet_set_zone_evacuated(k.d.fleet, k.now, "z1", false);
@@ -261,14 +269,14 @@
     fake_end(&k);
 }
 
-TESTS_MAIN(T(the_bound_holds_over_all_boxes), T(without_pacing_it_does_not),
-           T(a_zone_that_starts_carries_its_load),
-           T(quotas_add_up_to_half_of_the_bound),
-           T(boxes_that_are_not_known_are_counted),
-           T(a_cold_endpoint_gets_this_boxs_quota),
-           T(another_bound_holds_at_once),
-           T(a_box_that_starts_waits_for_a_window),
-           T(other_services_are_not_paced),
-           T(what_comes_back_after_silence_is_taken_for_cold),
-           T(lost_resting_connections_are_a_sign_of_a_start),
-           T(a_zone_that_is_back_is_taken_for_cold))
+TESTS_MAIN(T(the_bound_holds_over_all_boxes),
+           T(bound_is_exceeded_without_pacing),
+           T(starting_zone_carries_its_load),
+           T(quotas_add_up_to_half_of_the_bound), T(unknown_boxes_are_counted),
+           T(cold_endpoint_gets_this_boxs_quota),
+           T(changed_bound_applies_at_once),
+           T(restarted_box_waits_for_a_window),
+           T(services_without_a_bound_are_not_paced),
+           T(endpoint_that_answers_after_silence_counts_as_cold),
+           T(lost_idle_connections_suggest_a_restart),
+           T(zone_counts_as_cold_after_evacuation))
--- a/tests/test_kept.c
+++ b/tests/test_prefix_cache.c
@@ -1,9 +1,12 @@
-/* What engines keep of prompts, and the choice that follows from it. */
+/* Estimates of the prefixes that engines have in their caches, and the choice
+ * of endpoints by them. */
 #include "direct_fake.h"
 #include "wp_engine_cost.h"
 
 #include <stdlib.h>
 
+/* A prompt of two parts: `shared` tokens, the same for the same `which`, and
+   `own` tokens that no other prompt has. */
 static WPPrompt prompt_of(uint32_t shared, uint32_t own, unsigned which)
 {
     WPPrompt p = { .tokens = shared + own };
@@ -19,7 +22,7 @@
     return (WPTime){ (1000 + ms) * WP_US_PER_MS, ms };
 }
 
-static void a_part_is_kept_by_model_and_with_all_before_it(void **state)
+static void parts_match_by_model_and_with_all_before_them(void **state)
 {
     WPPrefixCache *k = wp_prefix_cache_new();
     WPPrompt p = prompt_of(9000, 1000, 1), q = prompt_of(9000, 500, 1);
@@ -34,14 +37,14 @@
     wp_prefix_cache_free(k);
 }
 
-static void the_least_recently_used_goes_first(void **state)
+static void least_recently_used_is_evicted_first(void **state)
 {
     WPPrefixCache *k = wp_prefix_cache_new();
     WPPrompt a = prompt_of(4000, 0, 1), b = prompt_of(4000, 0, 2);
     WPPrompt c = prompt_of(4000, 0, 3);
     (void)state;
-    wp_prefix_cache_set_capacity(
-        k, 12000); /* of which seven tenths are for kept prompts */
+    /* Seven tenths of it are for cached prefixes. */
+    wp_prefix_cache_set_capacity(k, 12000);
     wp_prefix_cache_add(k, at(0), 7, &a);
     wp_prefix_cache_add(k, at(1), 7, &b);
     wp_prefix_cache_add(k, at(2), 7, &a);
@@ -52,8 +55,9 @@
     wp_prefix_cache_free(k);
 }
 
-/* Whatever is sent, the beliefs stay bounded and never exceed the prompt. */
-static void beliefs_are_bounded(void **state)
+/* Whatever prompts are sent, the number of recorded parts stays bounded, and a
+   match is never longer than the prompt. */
+static void estimates_are_bounded(void **state)
 {
     WPPrefixCache *k = wp_prefix_cache_new();
     GRand *r = g_rand_new_with_seed(11);
@@ -79,7 +83,8 @@
     wp_prefix_cache_free(k);
 }
 
-/* An engine that reads 38 tokens a millisecond with the model at hand. */
+/* An engine that takes 80 us to prefill a token (12.5 tokens a millisecond)
+   with the model at hand. */
 static void learn(WPTtfbModel *s)
 {
     for (uint32_t i = 0; i < 100; i++) {
@@ -96,18 +101,19 @@
                                     .transfer_weight_per_kt = 0.1,
                                     .track_prefixes = true };
 
-static WPEndpointQuery want_of(WPTtfbModel *s, const WPPrompt *p, double second)
+static WPEndpointQuery query_of(WPTtfbModel *s, const WPPrompt *p,
+                                double ttfb_weight)
 {
     return (WPEndpointQuery){ .service = "llm",
                               .zone = "z1",
                               .prompt = p,
                               .model = 7,
                               .ttfb = s,
-                              .ttfb_weight = second,
+                              .ttfb_weight = ttfb_weight,
                               .body_bytes = p->tokens };
 }
 
-static void the_endpoint_that_keeps_the_prompt_is_preferred(void **state)
+static void endpoint_with_the_cached_prefix_is_preferred(void **state)
 {
     Fake k;
     WPTtfbModel s = { 0 };
@@ -117,8 +123,8 @@
     learn(&s);
     for (unsigned i = 0; i < 20; i++) {
         WPPrompt p = prompt_of(9000, 1000, i), q = prompt_of(9000, 800, i);
-        const WPEndpointQuery first = want_of(&s, &p, 0.7);
-        const WPEndpointQuery next = want_of(&s, &q, 0.7);
+        const WPEndpointQuery first = query_of(&s, &p, 0.7);
+        const WPEndpointQuery next = query_of(&s, &q, 0.7);
         WPReplica *a = wp_fleet_choose(k.d.fleet, k.now, &first);
         wp_fleet_request_sent(k.d.fleet, a, k.now, &first, 0);
         wp_fleet_request_ended(a, k.now, WP_OUTCOME_OK);
@@ -130,14 +136,15 @@
     fake_end(&k);
 }
 
-/* Where the keeper is full, another takes what it keeps; but not where a second
-   of reading is worth less than the move. */
-static void kept_memory_is_moved_where_that_pays(void **state)
+/* If the cache holder is not chosen, as when it is full, another endpoint
+   fetches the cached prefix from it; but it prefills the prompt itself where a
+   second until the first byte is worth less than the transfer. */
+static void prefix_is_fetched_where_that_is_cheaper(void **state)
 {
     Fake k;
     WPTtfbModel s = { 0 };
     uint32_t own_tokens[2];
-    WPCacheHolders keepers = { .cached_tokens = own_tokens };
+    WPCacheHolders holders = { .cached_tokens = own_tokens };
     WPPrompt p = prompt_of(9000, 1000, 1);
     (void)state;
     fake_init(&k);
@@ -148,29 +155,30 @@
     g_ptr_array_add(list, a);
     g_ptr_array_add(list, b);
     wp_prefix_cache_add(a->prefix_cache, k.now, 7, &p);
-    for (int dear = 0; dear < 2; dear++) {
-        const WPEndpointQuery w = want_of(&s, &p, dear ? 4 : 0.1);
-        wp_cache_holders_find(&keepers, k.now, &w, list);
+    for (int high_weight = 0; high_weight < 2; high_weight++) {
+        const WPEndpointQuery w = query_of(&s, &p, high_weight ? 4 : 0.1);
+        wp_cache_holders_find(&holders, k.now, &w, list);
         WPEngineCost own =
-            wp_engine_cost(&rules, k.now, &w, a, own_tokens[0], &keepers);
+            wp_engine_cost(&rules, k.now, &w, a, own_tokens[0], &holders);
         WPEngineCost other =
-            wp_engine_cost(&rules, k.now, &w, b, own_tokens[1], &keepers);
+            wp_engine_cost(&rules, k.now, &w, b, own_tokens[1], &holders);
         assert_null(own.source);
         assert_true(other.cost > own.cost);
-        assert_true((other.source == a) == dear);
-        assert_int_equal(other.inputs.uncached_tokens, dear ? 0 : 10000);
+        assert_true((other.source == a) == high_weight);
+        assert_int_equal(other.inputs.uncached_tokens, high_weight ? 0 : 10000);
     }
     g_ptr_array_unref(list);
     fake_end(&k);
 }
 
-/* Another version has other weights: what it keeps is of no use. */
-static void memory_of_another_version_is_not_taken(void **state)
+/* Another version has other model weights: its cached prefixes are of no
+   use. */
+static void prefix_of_another_version_is_not_fetched(void **state)
 {
     Fake k;
     WPTtfbModel s = { 0 };
     uint32_t own_tokens[2];
-    WPCacheHolders keepers = { .cached_tokens = own_tokens };
+    WPCacheHolders holders = { .cached_tokens = own_tokens };
     WPPrompt p = prompt_of(9000, 1000, 1);
     (void)state;
     fake_init(&k);
@@ -181,22 +189,23 @@
     g_ptr_array_add(list, wp_fleet_find(k.d.fleet, "l2"));
     wp_prefix_cache_add(wp_fleet_find(k.d.fleet, "l1")->prefix_cache, k.now, 7,
                         &p);
-    const WPEndpointQuery w = want_of(&s, &p, 4);
-    wp_cache_holders_find(&keepers, k.now, &w, list);
+    const WPEndpointQuery w = query_of(&s, &p, 4);
+    wp_cache_holders_find(&holders, k.now, &w, list);
     WPEngineCost b =
         wp_engine_cost(&rules, k.now, &w, wp_fleet_find(k.d.fleet, "l2"),
-                       own_tokens[1], &keepers);
+                       own_tokens[1], &holders);
     assert_null(b.source);
     g_ptr_array_unref(list);
     fake_end(&k);
 }
 
-/* What one box has sent, the others believe too; each thing is told once. */
-static void boxes_tell_each_other_what_is_kept(void **state)
+/* A box sends the others which prefixes it has sent to engines, each one once;
+   they merge it into their estimates. */
+static void boxes_exchange_cached_prefixes(void **state)
 {
     Fake x, y;
     WPTtfbModel s = { 0 };
-    WPCachedPrefixUpdate news[8];
+    WPCachedPrefixUpdate updates[8];
     WPPrompt p = prompt_of(9000, 1000, 1), small = prompt_of(300, 100, 2);
     (void)state;
     fake_init(&x);
@@ -204,25 +213,25 @@
     wp_fleet_set_rules(x.d.fleet, &rules);
     learn(&s);
     WPReplica *a = wp_fleet_find(x.d.fleet, "l1");
-    WPEndpointQuery w = want_of(&s, &p, 1);
+    WPEndpointQuery w = query_of(&s, &p, 1);
     wp_fleet_request_sent(x.d.fleet, a, x.now, &w, 0);
     w.prompt = &small;
     wp_fleet_request_sent(x.d.fleet, a, x.now, &w, 0);
-    assert_int_equal(wp_fleet_take_unsent_prefixes(x.d.fleet, news, 8), 1);
-    assert_int_equal(wp_fleet_take_unsent_prefixes(x.d.fleet, news, 8), 0);
-    wp_fleet_merge_cached_prefix(y.d.fleet, y.now, &news[0]);
+    assert_int_equal(wp_fleet_take_unsent_prefixes(x.d.fleet, updates, 8), 1);
+    assert_int_equal(wp_fleet_take_unsent_prefixes(x.d.fleet, updates, 8), 0);
+    wp_fleet_merge_cached_prefix(y.d.fleet, y.now, &updates[0]);
     const WPReplica *b = wp_fleet_find(y.d.fleet, "l1");
     assert_int_equal(wp_prefix_cache_match(b->prefix_cache, y.now, 7, &p),
                      9000);
-    news[0].replica++; /* one that is not known here */
-    wp_fleet_merge_cached_prefix(y.d.fleet, y.now, &news[0]);
+    updates[0].replica++; /* a replica that is not known here */
+    wp_fleet_merge_cached_prefix(y.d.fleet, y.now, &updates[0]);
     fake_end(&x);
     fake_end(&y);
 }
 
-TESTS_MAIN(T(a_part_is_kept_by_model_and_with_all_before_it),
-           T(the_least_recently_used_goes_first), T(beliefs_are_bounded),
-           T(the_endpoint_that_keeps_the_prompt_is_preferred),
-           T(kept_memory_is_moved_where_that_pays),
-           T(memory_of_another_version_is_not_taken),
-           T(boxes_tell_each_other_what_is_kept))
+TESTS_MAIN(T(parts_match_by_model_and_with_all_before_them),
+           T(least_recently_used_is_evicted_first), T(estimates_are_bounded),
+           T(endpoint_with_the_cached_prefix_is_preferred),
+           T(prefix_is_fetched_where_that_is_cheaper),
+           T(prefix_of_another_version_is_not_fetched),
+           T(boxes_exchange_cached_prefixes))
--- a/tests/test_seen.c
+++ b/tests/test_seen.c
@@ -54,8 +54,8 @@
     site_init(&s);
     WPShift *sh = start_move(&s, NULL, NULL);
     wp_shift_merge_elapsed(sh, wp_clock_now(0), ORDER_MS / 2);
-    feed_times(sh, "v2", "n1", 0.02, 0, 4, 5);
-    feed_times(sh, "v2", "n2", 0.02, 1, 4, 5);
+    record_timed_answers(sh, "v2", "n1", 0.02, 0, 4, 5);
+    record_timed_answers(sh, "v2", "n2", 0.02, 1, 4, 5);
     wait_record(&s, &ms);
     assert_string_equal(store.key, WP_KEY_SHIFT_RECORD "llm/e1");
     g_autofree char *key = g_strdup(store.key);
@@ -72,7 +72,7 @@
     assert_int_equal(wp_canary_own_sums(&sh->canary).answered, 0);
     assert_true(wp_elapsed_ms(&sh->elapsed, wp_clock_now(0)) >= ORDER_MS / 2);
     /* The next life adds to it, and the record has both. */
-    feed_times(sh, "v2", "n1", 0.02, 0, 0, 2);
+    record_timed_answers(sh, "v2", "n1", 0.02, 0, 0, 2);
     ms = 0;
     wait_record(&s, &ms);
     Wp__MoveRecord *m =
--- a/tests/test_pause.c
+++ b/tests/test_stall.c
@@ -1,40 +1,42 @@
-/* Streams that pause while their engine reads other prompts. */
+/* Streams that stall while their engine prefills other prompts. */
 #include "direct_fake.h"
 #include "wp_engine_cost.h"
 
-#define AIM_US 1.2e6
+#define TARGET_US 1.2e6
 
-static void long_reading_brings_pauses(void **state)
+static void long_prefill_causes_stalls(void **state)
 {
     WPStallModel p;
-    double before = 0;
+    double last = 0;
     (void)state;
     wp_stall_init(&p);
-    assert_float_equal(wp_stall_probability(&p, 0.5 * AIM_US, AIM_US), 0,
+    assert_float_equal(wp_stall_probability(&p, 0.5 * TARGET_US, TARGET_US), 0,
                        0.001);
-    for (double part = 0.6; part < 4; part += 0.05) {
-        double chance = wp_stall_probability(&p, part * AIM_US, AIM_US);
-        assert_true(chance >= before && chance <= 1);
-        before = chance;
+    for (double ratio = 0.6; ratio < 4; ratio += 0.05) {
+        double probability =
+            wp_stall_probability(&p, ratio * TARGET_US, TARGET_US);
+        assert_true(probability >= last && probability <= 1);
+        last = probability;
     }
-    assert_true(before > 0.9);
-    /* Without an aim none is too long. */
+    assert_true(last > 0.9);
+    /* Without a target no stall is too long. */
     assert_float_equal(wp_stall_probability(&p, 9e6, 0), 0, 0.001);
 }
 
-/* An engine whose events hold few tokens never pauses so long. */
-static void an_engine_that_does_not_pause_is_found_out(void **state)
+/* An engine whose events hold few tokens never stalls for so long, and this is
+   learned from its streams. */
+static void engine_that_does_not_stall_is_learned(void **state)
 {
     WPStallModel p;
     (void)state;
     wp_stall_init(&p);
     for (int i = 0; i < 80; i++)
-        wp_stall_add(&p, (0.6 + i % 4) * AIM_US, AIM_US, 0.5 * AIM_US);
+        wp_stall_add(&p, (0.6 + i % 4) * TARGET_US, TARGET_US, 0.5 * TARGET_US);
     for (int i = 0; i < 20; i++)
-        wp_stall_add(&p, 1.3 * AIM_US, AIM_US, 0.5 * AIM_US);
-    assert_true(wp_stall_probability(&p, 1.3 * AIM_US, AIM_US) < 0.1);
-    wp_stall_add(&p, 0, AIM_US, 2 * AIM_US); /* for another reason */
-    assert_true(wp_stall_probability(&p, 1.3 * AIM_US, AIM_US) < 0.1);
+        wp_stall_add(&p, 1.3 * TARGET_US, TARGET_US, 0.5 * TARGET_US);
+    assert_true(wp_stall_probability(&p, 1.3 * TARGET_US, TARGET_US) < 0.1);
+    wp_stall_add(&p, 0, TARGET_US, 2 * TARGET_US); /* for another reason */
+    assert_true(wp_stall_probability(&p, 1.3 * TARGET_US, TARGET_US) < 0.1);
 }
 
 static void peaks_are_found_by_time(void **state)
@@ -61,17 +63,17 @@
     }
 }
 
-/* A prompt that takes an engine 1.5 s to read goes where few streams run; a
-   short one where the home is. */
-static void a_long_prompt_goes_where_few_streams_run(void **state)
+/* A prompt with a prefill time of 1.5 s goes to the engine with few streams; a
+   short one to the affinity replica, as it costs the same at both engines. */
+static void long_prompt_goes_where_few_streams_run(void **state)
 {
     WPTtfbModel s = { 0 };
-    WPStallModel pauses;
+    WPStallModel stalls;
     Fake k;
     (void)state;
     fake_init(&k);
     learn(&s);
-    wp_stall_init(&pauses);
+    wp_stall_init(&stalls);
     wp_fleet_set_load(wp_fleet_find(k.d.fleet, "l1"), k.now, 4, 0, 8);
     wp_fleet_set_load(wp_fleet_find(k.d.fleet, "l2"), k.now, 1, 0, 8);
     WPReplica *busy = wp_fleet_find(k.d.fleet, "l1");
@@ -83,15 +85,15 @@
                                     .prompt = &p,
                                     .ttfb = &s,
                                     .ttfb_weight = 1,
-                                    .stalls = &pauses,
-                                    .max_stall_us = AIM_US,
+                                    .stalls = &stalls,
+                                    .max_stall_us = TARGET_US,
                                     .stall_weight = 0.1 };
         uint32_t own[2] = { 0 };
-        WPCacheHolders keepers = { .cached_tokens = own };
+        WPCacheHolders holders = { .cached_tokens = own };
         double a =
-            wp_engine_cost(&k.d.rules.fleet, k.now, &w, busy, 0, &keepers).cost;
+            wp_engine_cost(&k.d.rules.fleet, k.now, &w, busy, 0, &holders).cost;
         double b =
-            wp_engine_cost(&k.d.rules.fleet, k.now, &w, calm, 0, &keepers).cost;
+            wp_engine_cost(&k.d.rules.fleet, k.now, &w, calm, 0, &holders).cost;
         if (tokens < 40000)
             assert_float_equal(a, b, 0.01);
         else
@@ -100,7 +102,6 @@
     fake_end(&k);
 }
 
-TESTS_MAIN(T(long_reading_brings_pauses),
-           T(an_engine_that_does_not_pause_is_found_out),
-           T(peaks_are_found_by_time),
-           T(a_long_prompt_goes_where_few_streams_run))
+TESTS_MAIN(T(long_prefill_causes_stalls),
+           T(engine_that_does_not_stall_is_learned), T(peaks_are_found_by_time),
+           T(long_prompt_goes_where_few_streams_run))
--- a/tests/test_start.c
+++ b/tests/test_startup.c
@@ -1,8 +1,8 @@
-/* Requests that come while boxes start: which are held, and what callers get of
- * it when all boxes start at once. */
+/* Requests that arrive while boxes start: which are held, and how many callers
+ * are served when all boxes start at once. */
 #include "direct_fake.h"
 
-static void what_is_held(void **state)
+static void hold_times(void **state)
 {
     (void)state;
     WPStartup s = { .start_us = 1000000 };
@@ -19,8 +19,8 @@
     assert_int_equal(wp_startup_hold_ms(&s, now, 20000), 0);
 }
 
-/* The time that a request is held is the caller's. */
-static void a_held_request_goes_on_with_what_is_left(void **state)
+/* The time for which a request is held counts against its caller's deadline. */
+static void hold_time_counts_against_the_deadline(void **state)
 {
     (void)state;
     Fake k;
@@ -38,7 +38,7 @@
     WPFlow *f = wp_flow_begin(&k.d, k.now, &ask, &m);
     assert_int_equal(m.kind, WP_MOVE_HOLD);
     assert_int_equal(m.retry_ms, 500);
-    fake_pass(&k, 300);
+    fake_advance(&k, 300);
     k.d.routes = t;
     wp_flow_enter(f, k.now, &ask, &m);
     assert_int_equal(m.kind, WP_MOVE_SEND);
@@ -48,7 +48,7 @@
     fake_end(&k);
 }
 
-static void one_that_is_held_in_vain_has_not_run(void **state)
+static void request_held_in_vain_is_refused_as_not_run(void **state)
 {
     (void)state;
     Fake k;
@@ -66,93 +66,93 @@
     fake_end(&k);
 }
 
-/* All boxes start at once and are ready between 0.8 and 1.3 s later, as
-   measured where 385 of them read the store together. Callers come all the
-   while; one that is refused comes back once, to another box, after the time
-   that it was told or a third of what it has left. */
+/* Simulation: all boxes start at once and are ready between 0.8 and 1.3 s
+   later, as measured where 385 of them read the store together. Callers arrive
+   all the while; a refused one retries once, at another box, after the time
+   that it was told or a third of its remaining time, whichever is shorter. */
 enum {
     BOXES = 385,
     CALLERS = 1300,
-    COME_MS = 1500,
-    LEAST_MS = 800,
-    MOST_MS = 1300
+    ARRIVALS_MS = 1500,
+    READY_MIN_MS = 800,
+    READY_MAX_MS = 1300
 };
 
-typedef struct Kind {
+typedef struct CallerClass {
     uint32_t deadline_ms;
     double share;
-} Kind;
+} CallerClass;
 
-static const Kind kinds[] = {
+static const CallerClass classes[] = {
     { 20000, 0.23 }, { 15000, 0.14 }, { 5000, 0.37 }, { 1500, 0.26 }
 };
 
-typedef struct Load {
+typedef struct Sim {
     GRand *rand;
     int64_t ready_ms[BOXES];
     bool holds;
-    unsigned served, held_out;
-} Load;
+    unsigned served, held_in_vain;
+} Sim;
 
-static uint32_t draw_deadline(Load *l)
+static uint32_t draw_deadline(Sim *l)
 {
-    double unit = g_rand_double(l->rand);
+    double draw = g_rand_double(l->rand);
     size_t i = 0;
-    while (i + 1 < WP_COUNT(kinds) && unit >= kinds[i].share)
-        unit -= kinds[i++].share;
-    return kinds[i].deadline_ms;
+    while (i + 1 < WP_COUNT(classes) && draw >= classes[i].share)
+        draw -= classes[i++].share;
+    return classes[i].deadline_ms;
 }
 
-/* When the caller has its answer of this attempt; `*served`: it is none of the
-   box's own. */
-static int64_t attempt(Load *l, int64_t at_ms, uint32_t left_ms, bool *served)
+/* Returns when the caller gets the answer to an attempt that it makes at
+   `at_ms`. `*served`: the box serves the request instead of refusing it. */
+static int64_t attempt(Sim *l, int64_t at_ms, uint32_t left_ms, bool *served)
 {
     const WPStartup start = { .start_us = 1 };
     const WPTime now = { 1 + at_ms * WP_US_PER_MS, 0 };
     int64_t ready_ms = l->ready_ms[g_rand_int_range(l->rand, 0, BOXES)];
     int64_t hold_ms = l->holds ? wp_startup_hold_ms(&start, now, left_ms) : 0;
     *served = at_ms + hold_ms >= ready_ms;
-    l->held_out += hold_ms && !*served;
+    l->held_in_vain += hold_ms && !*served;
     return *served ? MAX(at_ms, ready_ms) : at_ms + hold_ms;
 }
 
-static void call(Load *l)
+static void run_caller(Sim *l)
 {
-    enum { STARTING_MS = 500 };
+    enum { RETRY_AFTER_MS = 500 };
     uint32_t deadline_ms = draw_deadline(l);
-    int64_t at_ms = g_rand_int_range(l->rand, 0, COME_MS);
+    int64_t at_ms = g_rand_int_range(l->rand, 0, ARRIVALS_MS);
     int64_t end_ms = at_ms + deadline_ms;
     bool served;
     int64_t ms = attempt(l, at_ms, deadline_ms, &served);
     if (!served) {
-        ms += MIN(STARTING_MS, (end_ms - ms) / 3);
+        ms += MIN(RETRY_AFTER_MS, (end_ms - ms) / 3);
         attempt(l, ms, (uint32_t)(end_ms - ms), &served);
     }
     l->served += served;
 }
 
-static Load play(bool holds)
+static Sim simulate(bool holds)
 {
-    Load l = { .holds = holds };
+    Sim l = { .holds = holds };
     l.rand = g_rand_new_with_seed(1);
     for (unsigned i = 0; i < BOXES; i++)
-        l.ready_ms[i] = g_rand_int_range(l.rand, LEAST_MS, MOST_MS);
+        l.ready_ms[i] = g_rand_int_range(l.rand, READY_MIN_MS, READY_MAX_MS);
     for (unsigned i = 0; i < CALLERS; i++)
-        call(&l);
+        run_caller(&l);
     g_rand_free(l.rand);
     return l;
 }
 
-static void callers_of_a_start_of_all_boxes(void **state)
+static void callers_are_served_when_all_boxes_start(void **state)
 {
     (void)state;
-    Load refuses = play(false), holds = play(true);
+    Sim refuses = simulate(false), holds = simulate(true);
     print_message("served of %u: %u when refused, %u when held (%u in vain)\n",
-                  CALLERS, refuses.served, holds.served, holds.held_out);
+                  CALLERS, refuses.served, holds.served, holds.held_in_vain);
     assert_true(holds.served > 0.95 * CALLERS);
     assert_true(refuses.served < 0.85 * CALLERS);
 }
 
-TESTS_MAIN(T(what_is_held), T(a_held_request_goes_on_with_what_is_left),
-           T(one_that_is_held_in_vain_has_not_run),
-           T(callers_of_a_start_of_all_boxes))
+TESTS_MAIN(T(hold_times), T(hold_time_counts_against_the_deadline),
+           T(request_held_in_vain_is_refused_as_not_run),
+           T(callers_are_served_when_all_boxes_start))
