--- a/bench/lab.c
+++ b/bench/lab.c
@@ -136,9 +136,9 @@
     size_t second = (size_t)(lab->now_us / WP_US_PER_S);
     if (second < G_N_ELEMENTS(lab->second_ok))
         lab->second_ok[second]++;
-    if (a->request->ask_rating && a->counted)
+    if (a->request->wants_rating && a->counted)
         r->cost += 0.02 * version_cost(lab, version, a);
-    if (a->request->ask_rating ||
+    if (a->request->wants_rating ||
         g_rand_double(lab->rand) < lab->mix->rated_share) {
         Event *e = lab_after(
             lab, (int64_t)(lab->plan->rating_lag_s * WP_US_PER_S), on_rating);
@@ -170,7 +170,7 @@
 
 /* --- the entry's side --- */
 
-static void do_step(Lab *lab, Ask *a, WPStep step);
+static void do_step(Lab *lab, Ask *a, WPEntryAction step);
 
 static Wp__Start *make_start(const Lab *lab, const Ask *a)
 {
@@ -185,7 +185,7 @@
     s.budget_ms =
         (uint32_t)(MAX(q->deadline_us - lab->now_us, 0) / WP_US_PER_MS);
     s.has_leg = 1;
-    s.leg = q->leg;
+    s.leg = q->attempt;
     return wp_pb_copy(&s.base);
 }
 
@@ -195,8 +195,8 @@
 static void probe(Lab *lab, Ask *a)
 {
     WPEndpoint *list[PROBES];
-    unsigned n = wp_entry_probes(lab->doors[a->entry].entry, lab_now(lab),
-                                 a->request, list, PROBES);
+    unsigned n = wp_entry_probe_targets(lab->doors[a->entry].entry,
+                                        lab_now(lab), a->request, list, PROBES);
     for (unsigned i = 0; i < n; i++) {
         unsigned k = (unsigned)atoi(list[i]->id + 1);
         Event *e = lab_after(lab, 2 * way(lab, a->entry, k), on_pong);
@@ -210,15 +210,15 @@
     Ask *a = e->ask;
     do_step(
         lab, a,
-        wp_entry_again(lab->doors[a->entry].entry, lab_now(lab), a->request));
+        wp_entry_retry(lab->doors[a->entry].entry, lab_now(lab), a->request));
 }
 
-static void do_step(Lab *lab, Ask *a, WPStep step)
+static void do_step(Lab *lab, Ask *a, WPEntryAction step)
 {
     LabResult *r = lab->r;
     Event *e;
     switch (step.kind) {
-    case WP_STEP_SEND:
+    case WP_ENTRY_SEND:
         /* A cascade's second step is no second attempt. */
         r->attempts +=
             a->counted && (a->request->n_tried > 1 || a->request->step == 0);
@@ -229,12 +229,12 @@
         e->stream = a->stream;
         probe(lab, a);
         return;
-    case WP_STEP_LATER:
+    case WP_ENTRY_RETRY_LATER:
         e = lab_after(lab, (int64_t)step.retry_after_ms * WP_US_PER_MS,
                       on_again);
         e->ask = a;
         return;
-    case WP_STEP_CHECK: {
+    case WP_ENTRY_CHECK: {
         bool good = g_rand_double(lab->rand) <
                     truth(lab, a->item->kind, a->request->version);
         a->checked_good = good;
@@ -245,8 +245,8 @@
                                  a->request, good));
         return;
     }
-    case WP_STEP_DONE: {
-        bool checked = a->request->step == 0 && a->request->escalate;
+    case WP_ENTRY_DONE: {
+        bool checked = a->request->step == 0 && a->request->escalation_version;
         bool good = checked
                         ? a->checked_good
                         : g_rand_double(lab->rand) <
@@ -254,7 +254,7 @@
         note_answer(lab, a, a->request->version, good);
         break;
     }
-    case WP_STEP_FINAL:
+    case WP_ENTRY_FAIL:
         if (a->counted && wp_code_info(step.code)->ran == WP_RAN_NOT_RUN)
             r->refused++;
         else
@@ -319,8 +319,8 @@
     if (a->stream != e->stream)
         return;
     do_step(lab, a,
-            wp_entry_lost(lab->doors[a->entry].entry, lab_now(lab), a->request,
-                          true));
+            wp_entry_link_lost(lab->doors[a->entry].entry, lab_now(lab),
+                               a->request, true));
 }
 
 static void on_first(Lab *lab, Event *e)
@@ -349,7 +349,7 @@
 }
 
 static void send_back(Lab *lab, unsigned server, Ask *a,
-                      void (*fn)(Lab *, Event *), const WPVerdict *v)
+                      void (*fn)(Lab *, Event *), const WPAgentDecision *v)
 {
     Event *e = lab_after(lab, way(lab, a->entry, server), fn);
     e->ask = a;
@@ -414,12 +414,12 @@
     schedule(lab, n);
 }
 
-static void follow(Lab *lab, unsigned n, WPJob *j, const WPVerdict *v)
+static void follow(Lab *lab, unsigned n, WPJob *j, const WPAgentDecision *v)
 {
-    Ask *a = j->io;
-    if (v->kind == WP_VERDICT_RUN) {
+    Ask *a = j->user_data;
+    if (v->kind == WP_AGENT_RUN) {
         begin(lab, n, a);
-    } else if (v->kind == WP_VERDICT_REFUSE) {
+    } else if (v->kind == WP_AGENT_REFUSE) {
         send_back(lab, n, a, on_refused, v);
         a->job = NULL;
         wp_job_free(j);
@@ -428,9 +428,9 @@
 
 static void drain_agent(Lab *lab, unsigned n)
 {
-    WPVerdict v;
+    WPAgentDecision v;
     WPJob *j;
-    while ((j = wp_agent_next(lab->servers[n].agent, lab_now(lab), &v)))
+    while ((j = wp_agent_next_job(lab->servers[n].agent, lab_now(lab), &v)))
         follow(lab, n, j, &v);
 }
 
@@ -439,7 +439,7 @@
     Ask *a = e->ask;
     unsigned n = a->agent;
     Server *s = &lab->servers[n];
-    WPVerdict v;
+    WPAgentDecision v;
     if (s->lost) {
         /* The link is found dead after the heartbeat's bound. */
         Event *lost = lab_after(lab, WP_US_PER_S, on_lost);
@@ -449,7 +449,7 @@
     }
     a->job = wp_agent_start(s->agent, lab_now(lab), make_start(lab, a), 1,
                             a->stream, 0, &v);
-    a->job->io = a;
+    a->job->user_data = a;
     follow(lab, n, a->job, &v);
     drain_agent(lab, n);
 }
@@ -460,8 +460,8 @@
     wp_list_remove(&a->link);
     s->n_batch--;
     a->running = false;
-    wp_agent_ended(s->agent, lab_now(lab), a->job, true, true, a->prompt_tokens,
-                   a->answer_tokens);
+    wp_agent_finish_job(s->agent, lab_now(lab), a->job, true, true,
+                        a->prompt_tokens, a->answer_tokens);
     wp_job_free(a->job);
     a->job = NULL;
     send_back(lab, n, a, on_end, NULL);
@@ -523,7 +523,7 @@
 static void on_arrival(Lab *lab, Event *e)
 {
     Ask *a = g_new0(Ask, 1);
-    WPStep step;
+    WPEntryAction step;
     (void)e;
     a->lab = lab;
     a->item = pick_item(lab);
@@ -540,11 +540,12 @@
     WPPolicy *p = wp_entry_policy(d->entry);
     char prefix[16];
     g_snprintf(prefix, sizeof(prefix), "p%u", a->prefix);
-    WPAsk ask = { .workspace = wp_policy_workspace(p, a->item->workspace),
-                  .kind = wp_policy_kind(p, a->item->kind),
-                  .prompt_tokens = a->prompt_tokens,
-                  .answer_tokens = a->item->answer_tokens,
-                  .prefix = wp_hash(wp_str(prefix), 1) };
+    WPRequestParams ask = { .workspace =
+                                wp_policy_workspace(p, a->item->workspace),
+                            .kind = wp_policy_kind(p, a->item->kind),
+                            .prompt_tokens = a->prompt_tokens,
+                            .answer_tokens = a->item->answer_tokens,
+                            .prefix = wp_hash(wp_str(prefix), 1) };
     if (a->counted) {
         lab->r->offered++;
         kind_of(lab, a->item->kind)->offered++;
--- a/bench/lab_int.h
+++ b/bench/lab_int.h
@@ -63,7 +63,7 @@
     unsigned n, m;
     uint64_t stream;
     Wp__Load load;
-    WPVerdict verdict;
+    WPAgentDecision verdict;
     Wp__End end;
     Wp__Usage usage;
     double score;
--- a/bench/wpcapacity.c
+++ b/bench/wpcapacity.c
@@ -3,7 +3,7 @@
 #include "fleet.h"
 #include "wp_agent.h"
 #include "wp_entry.h"
-#include "wp_once.h"
+#include "wp_idempotency.h"
 #include "wp_pb.h"
 
 #include <malloc.h>
@@ -269,7 +269,7 @@
     printf("%-34s %8.0f B\n", "an unsettled bill",
            (heap_bytes() - before) / 4000);
     now.mono_us = WP_US_PER_S;
-    const WPBillBatch *batch = wp_bills_due(b, now, true);
+    const WPBillBatch *batch = wp_bills_next_batch(b, now, true);
     printf("%-34s %8.0f B\n", "  the same in a batch on its way",
            (double)batch->value->len / 4000);
     wp_bills_free(b);
@@ -277,19 +277,19 @@
 
 static void memory_of_keys(void)
 {
-    WPOnceRules rules = { 600, 10000, 3000 };
-    WPOnce *o = wp_once_new(&rules);
+    WPIdempotencyRules rules = { 600, 10000, 3000 };
+    WPIdempotency *o = wp_idempotency_new(&rules);
     double before = heap_bytes();
     for (int i = 0; i < 10000; i++) {
         char key[64];
         WPTime now = { 1, 1800000000000 };
         g_snprintf(key, sizeof(key), "hall-mont/01a236ad-ef4b-78dd-9e21-%012d",
                    i);
-        wp_once_begin(o, now, "pings-1", key, 1800000000000, 0);
+        wp_idempotency_begin(o, now, "pings-1", key, 1800000000000, 0);
     }
     printf("%-34s %8.0f B\n", "an idempotency key",
            (heap_bytes() - before) / 10000);
-    wp_once_free(o);
+    wp_idempotency_free(o);
 }
 
 static void memory_of_requests(void)
@@ -302,7 +302,7 @@
         r[i]->workspace = g_strdup("lake-north");
         r[i]->kind = g_strdup("rider-answer");
         r[i]->version = g_strdup("tagger-2");
-        r[i]->token = g_strnfill(190, 'x');
+        r[i]->new_session_token = g_strnfill(190, 'x');
     }
     printf("%-34s %8.0f B\n", "a request's decisions at the entry",
            (heap_bytes() - before) / N - sizeof(void *));
--- a/cmd/ctl_change.c
+++ b/cmd/ctl_change.c
@@ -1,7 +1,7 @@
 /* The commands of wpctl that change the configuration, or check a rules file.
  */
 #include "ctl.h"
-#include "wp_check.h"
+#include "wp_config_validate.h"
 #include "wp_rollout.h"
 
 #include <stdio.h>
@@ -87,7 +87,7 @@
     d.n_ops = ops->len;
     d.ops = (Wp__Op **)ops->pdata;
     wp_config_apply(copy, &d);
-    GPtrArray *problems = wp_check(copy);
+    GPtrArray *problems = wp_config_validate(copy);
     for (guint i = 0; i < problems->len; i++)
         fprintf(stderr, "%s\n", (char *)problems->pdata[i]);
     bool ok = !problems->len || c->force;
--- a/cmd/ctl_view.c
+++ b/cmd/ctl_view.c
@@ -394,11 +394,12 @@
     add_to(sum, "prompt_tokens", c->bill->prompt_tokens);
     add_to(sum, "answer_tokens", c->bill->answer_tokens);
     json_array_append_new(
-        s->charges, json_pack("{s:s,s:i,s:s,s:s,s:i,s:b,s:i}", "request_id",
-                              c->request_id, "step", (int)c->step, "version",
-                              c->bill->version, "workspace", c->bill->workspace,
-                              "answer_tokens", (int)c->bill->answer_tokens,
-                              "whole", c->bill->whole, "seen", (int)c->seen));
+        s->charges,
+        json_pack("{s:s,s:i,s:s,s:s,s:i,s:b,s:i}", "request_id", c->request_id,
+                  "step", (int)c->step, "version", c->bill->version,
+                  "workspace", c->bill->workspace, "answer_tokens",
+                  (int)c->bill->answer_tokens, "whole", c->bill->whole, "seen",
+                  (int)c->occurrences));
 }
 
 int ctl_bills(Ctl *c)
--- a/io/wp_attempts.c
+++ b/io/wp_attempts.c
@@ -141,12 +141,12 @@
     s->has_budget_ms = 1;
     s->budget_ms = (uint32_t)(MAX(left_us, 0) / WP_US_PER_MS);
     s->has_leg = 1;
-    s->leg = q->leg;
+    s->leg = q->attempt;
     s->has_step = 1;
     s->step = q->step;
-    s->once_key = q->once_key;
+    s->once_key = q->idempotency_key;
     s->has_once_ms = 1;
-    s->once_ms = q->once_ms;
+    s->once_ms = q->key_issued_ms;
     s->has_window = 1;
     s->window = x->server->settings->window_kb << 10;
     s->has_stream = 1;
@@ -175,8 +175,8 @@
 static void send_probes(WPExchange *x)
 {
     WPEndpoint *list[PROBES_PER_REQUEST];
-    unsigned n = wp_entry_probes(x->server->entry, current_time(x), x->request,
-                                 list, PROBES_PER_REQUEST);
+    unsigned n = wp_entry_probe_targets(x->server->entry, current_time(x),
+                                        x->request, list, PROBES_PER_REQUEST);
     for (unsigned i = 0; i < n; i++)
         send_probe(x->server, list[i]);
 }
@@ -191,11 +191,11 @@
     x->ungranted_bytes = 0;
     if (x->rating_copy)
         g_string_free(x->rating_copy, TRUE);
-    x->rating_copy = x->request->ask_rating ? g_string_new(NULL) : NULL;
+    x->rating_copy = x->request->wants_rating ? g_string_new(NULL) : NULL;
     x->link = wp_hub_get_link(wp_host_hub(s->host), p->addr);
     if (!x->link) {
-        wp_exchange_run_action(
-            x, wp_entry_lost(s->entry, current_time(x), x->request, false));
+        wp_exchange_run_action(x, wp_entry_link_lost(s->entry, current_time(x),
+                                                     x->request, false));
         return;
     }
     x->link->in_flight++;
@@ -296,24 +296,24 @@
     json_decref(o);
 }
 
-void wp_exchange_run_action(WPExchange *x, WPStep step)
+void wp_exchange_run_action(WPExchange *x, WPEntryAction step)
 {
     switch (step.kind) {
-    case WP_STEP_SEND:
+    case WP_ENTRY_SEND:
         send_start(x, step.endpoint);
         return;
-    case WP_STEP_CHECK:
+    case WP_ENTRY_CHECK:
         request_check(x);
         return;
-    case WP_STEP_LATER:
+    case WP_ENTRY_RETRY_LATER:
         x->retry_at_us = current_time(x).mono_us +
                          (int64_t)step.retry_after_ms * WP_US_PER_MS;
         return;
-    case WP_STEP_DONE:
+    case WP_ENTRY_DONE:
         submit_for_rating(x);
         wp_reply_finish(x);
         break;
-    case WP_STEP_FINAL:
+    case WP_ENTRY_FAIL:
         if (x->reply_started) {
             wp_reply_abort(x, step.code);
         } else if (x->http) {
@@ -331,7 +331,7 @@
 /* Whether the answer must still be buffered rather than forwarded. */
 static bool must_buffer(const WPExchange *x)
 {
-    if (x->request->escalate)
+    if (x->request->escalation_version)
         return true;
     return !x->stream && evbuffer_get_length(x->pending_answer) <= HOLD_MAX;
 }
@@ -370,22 +370,22 @@
 
 void wp_attempts_send_backup(WPServer *s)
 {
-    wp_entry_tell_witness(s->entry, wp_host_now(s->host), send_backup, s);
+    wp_entry_send_backup(s->entry, wp_host_now(s->host), send_backup, s);
 }
 
 void wp_attempts_on_frame(WPServer *s, WPLink *l, Wp__Frame *f)
 {
     WPTime now = wp_host_now(s->host);
     if (f->body_case == WP__FRAME__BODY_WITNESS)
-        wp_entry_witnessed(s->entry, now, f->witness);
+        wp_entry_receive_backup(s->entry, now, f->witness);
     if (f->load && l->peer) {
         WPEndpoint *p = wp_entry_endpoint(s->entry, l->peer);
         if (p)
             wp_endpoint_update_load(p, f->load, now.mono_us);
     }
     if (f->body_case == WP__FRAME__BODY_SETTLED && l->peer)
-        wp_entry_settled(s->entry, l->peer, l->peer_incarnation,
-                         f->settled->upto);
+        wp_entry_bills_settled(s->entry, l->peer, l->peer_incarnation,
+                               f->settled->upto);
     WPExchange *x =
         f->has_stream ? g_hash_table_lookup(s->streams, &f->stream) : NULL;
     /* Ignore late frames of an abandoned attempt, and frames from another
@@ -426,14 +426,14 @@
 {
     WPTime now = wp_host_now(s->host);
     uint64_t written = wp_link_written_bytes(l);
-    wp_entry_witness_lost(s->entry, l->addr);
+    wp_entry_backup_link_lost(s->entry, l->addr);
     wp_list_each_safe (it, tmp, &s->exchanges) {
         WPExchange *x = wp_list_item(it, WPExchange, node);
         if (x->link != l)
             continue;
         bool sent = l->connected && x->start_offset < written;
         detach(x);
-        wp_exchange_run_action(x,
-                               wp_entry_lost(s->entry, now, x->request, sent));
+        wp_exchange_run_action(
+            x, wp_entry_link_lost(s->entry, now, x->request, sent));
     }
 }
--- a/io/wp_digest.c
+++ b/io/wp_digest.c
@@ -66,11 +66,14 @@
                                  confirmed_us);
     }
     for (size_t i = 0; i < d->n_bound; i++)
-        wp_direct_hear(&s->host->direct, now, WP_TELL_BOUND, d->bound[i]);
+        wp_direct_merge_session(&s->host->direct, now, WP_SESSION_UPDATE_BOUND,
+                                d->bound[i]);
     for (size_t i = 0; i < d->n_moved; i++)
-        wp_direct_hear(&s->host->direct, now, WP_TELL_MOVED, d->moved[i]);
+        wp_direct_merge_session(&s->host->direct, now, WP_SESSION_UPDATE_MOVED,
+                                d->moved[i]);
     for (size_t i = 0; i < d->n_left; i++)
-        wp_direct_hear(&s->host->direct, now, WP_TELL_LEFT, d->left[i]);
+        wp_direct_merge_session(&s->host->direct, now,
+                                WP_SESSION_UPDATE_RETIRED, d->left[i]);
 }
 
 typedef struct Fill {
@@ -120,11 +123,11 @@
     d->kept_tokens = s->kept_tokens;
 }
 
-static size_t fill_sessions(WPSync *s, WPTime now, WPSessionNews what,
+static size_t fill_sessions(WPSync *s, WPTime now, WPSessionUpdate what,
                             uint64_t *out)
 {
-    return wp_direct_tell(&s->host->direct, now, what, out,
-                          WP_DIGEST_SESSIONS_MAX);
+    return wp_direct_take_unsent_sessions(&s->host->direct, now, what, out,
+                                          WP_DIGEST_SESSIONS_MAX);
 }
 
 void wp_sync_fill_digest(void *arg, Wp__MirrorDigest *d)
@@ -145,10 +148,10 @@
     wp_fleet_each_failing_under_load(s->host->direct.fleet, now,
                                      fill_failing_under_load, &f);
     d->bound = s->bound;
-    d->n_bound = fill_sessions(s, now, WP_TELL_BOUND, s->bound);
+    d->n_bound = fill_sessions(s, now, WP_SESSION_UPDATE_BOUND, s->bound);
     fill_cached_prefixes(s, d);
     d->moved = s->moved;
-    d->n_moved = fill_sessions(s, now, WP_TELL_MOVED, s->moved);
+    d->n_moved = fill_sessions(s, now, WP_SESSION_UPDATE_MOVED, s->moved);
     d->left = s->retired;
-    d->n_left = fill_sessions(s, now, WP_TELL_LEFT, s->retired);
+    d->n_left = fill_sessions(s, now, WP_SESSION_UPDATE_RETIRED, s->retired);
 }
--- a/io/wp_direct_host.c
+++ b/io/wp_direct_host.c
@@ -151,8 +151,9 @@
     return (WPDirectRules){
         .box = wp_hash(wp_str(s->id), 0),
         .zone = s->zone,
-        .retries = { s->retry_ratio, s->retry_slack, in_ms(s->retry_window_s) },
-        .session_ms = in_ms(s->session_s),
+        .retry_budget = { s->retry_ratio, s->retry_slack,
+                          in_ms(s->retry_window_s) },
+        .session_idle_ms = in_ms(s->session_s),
         .cascade = { s->confidence_even, s->confidence_spread, s->answer_value,
                      s->request_value, s->strain_from, s->strain_weight },
         .fleet = { .own_zone = g_intern_string(s->zone),
@@ -167,7 +168,7 @@
                    .stall_weight = s->weigh_pause,
                    .slow_weight = s->weigh_slow,
                    .choices = s->choices },
-        .second = s->weigh_time
+        .first_byte_weight = s->weigh_time
     };
 }
 
@@ -278,7 +279,7 @@
     bool ok = read_chart(h, error);
     wp_direct_init(&h->direct, &rules, h->chart, seed);
     wp_buffered_set_limit(&h->buffered, h->settings->memory_mb);
-    h->direct.start.start_us = wp_clock_now(0).mono_us;
+    h->direct.startup.start_us = wp_clock_now(0).mono_us;
     apply_areas(h);
     if (ok && open_connections(h, error)) {
         open_signals(h);
--- a/io/wp_host.c
+++ b/io/wp_host.c
@@ -116,14 +116,14 @@
     WPHost *h = arg;
     WPBills *b = h->ops->bills(h->role);
     uint64_t before = wp_bills_settled(b);
-    WPBillWrite result = !r->ok         ? WP_BILL_FAILED
-                         : r->succeeded ? WP_BILL_CREATED
-                         : r->n_items   ? WP_BILL_EXISTS
-                                        : WP_BILL_FAILED;
+    WPBillWriteResult result = !r->ok         ? WP_BILL_FAILED
+                               : r->succeeded ? WP_BILL_CREATED
+                               : r->n_items   ? WP_BILL_EXISTS
+                                              : WP_BILL_FAILED;
     const WPKvItem *i = r->n_items ? r->items : NULL;
-    wp_bills_written(b, wp_host_now(h), result,
-                     i ? (const uint8_t *)i->value.p : NULL,
-                     i ? i->value.n : 0);
+    wp_bills_batch_written(b, wp_host_now(h), result,
+                           i ? (const uint8_t *)i->value.p : NULL,
+                           i ? i->value.n : 0);
     uint64_t after = wp_bills_settled(b);
     wp_node_counters(h->node)->value[WP_C_BILLS_SETTLED] += after - before;
     if (after > before && h->ops->bills_settled)
@@ -133,7 +133,8 @@
 static void write_bills(WPHost *h, WPTime now)
 {
     WPBills *b = h->ops->bills(h->role);
-    const WPBillBatch *batch = h->kv ? wp_bills_due(b, now, h->draining) : NULL;
+    const WPBillBatch *batch =
+        h->kv ? wp_bills_next_batch(b, now, h->draining) : NULL;
     if (!batch)
         return;
     WPKvCompare absent = { batch->key, 0 };
--- a/io/wp_platform.h
+++ b/io/wp_platform.h
@@ -83,7 +83,7 @@
 
     /* Decodes the head of a caller's request. Returns NULL, or the reason why
        the request is refused. */
-    const char *(*parse_request)(const WPHead *h, WPDirectAsk *out);
+    const char *(*parse_request)(const WPHead *h, WPDirectRequest *out);
 
     /* Appends the header fields of an attempt to `out`: those of the caller's
        request `request` that are passed on, and those for `attempt`. */
--- a/io/wp_relay.c
+++ b/io/wp_relay.c
@@ -6,7 +6,7 @@
     BUFFER_MAX_BYTES = 16 << 20 /* bytes of an answer that is not streamed */
 };
 
-static void do_action(WPRelay *r, const WPMove *first);
+static void do_action(WPRelay *r, const WPFlowAction *first);
 
 static struct timeval timeval_from_us(int64_t us)
 {
@@ -80,8 +80,8 @@
     g_autoptr(GByteArray) body = g_steal_pointer(&r->body);
     r->fields = g_string_new(NULL);
     r->body = g_byte_array_new();
-    wp_flow_done(r->flow, wp_clock_now(0),
-                 r->stream.events - r->events_before_attempt);
+    wp_flow_on_done(r->flow, wp_clock_now(0),
+                    r->stream.events - r->events_before_attempt);
     wp_relay_log_end(r, status < 400 ? "ok" : "endpoint_status", status);
     free_relay(r);
     wp_downstream_send_answer(p, status, wp_strn(fields->str, fields->len),
@@ -102,7 +102,8 @@
 }
 
 /* Writes the request as it is sent to an endpoint. */
-static void write_request(WPRelay *r, const WPMove *m, struct evbuffer *out)
+static void write_request(WPRelay *r, const WPFlowAction *m,
+                          struct evbuffer *out)
 {
     const WPHead *h = &r->downstream_conn->head;
     const GByteArray *body = r->downstream_conn->body;
@@ -111,7 +112,7 @@
         .workspace = r->flow->workspace,
         .model = m->model,
         .budget_ms = r->flow->deadline_us < INT64_MAX / 2 ? m->budget_ms : 0,
-        .prefix_source = m->fetch,
+        .prefix_source = m->prefix_source,
         .priority = r->flow->priority,
         .resumes = r->stream.has_last_id,
         .after_event = r->stream.last_id
@@ -128,7 +129,7 @@
 }
 
 /* Sends an attempt. Returns false if no connection could be opened. */
-static bool send_attempt(WPRelay *r, const WPMove *m)
+static bool send_attempt(WPRelay *r, const WPFlowAction *m)
 {
     WPTime now = wp_clock_now(0);
     struct evbuffer *request = evbuffer_new();
@@ -145,9 +146,9 @@
         wp_upstream_send(r->host->upstream, now, m->replica, request,
                          r->downstream_conn->is_head, non_repeatable, r);
     evbuffer_free(request);
-    if (r->upstream_conn && m->patience_ms) {
+    if (r->upstream_conn && m->first_byte_timeout_ms) {
         struct timeval at =
-            timeval_from_us((int64_t)m->patience_ms * WP_US_PER_MS);
+            timeval_from_us((int64_t)m->first_byte_timeout_ms * WP_US_PER_MS);
         event_add(r->first_byte_timer, &at);
     } else {
         event_del(r->first_byte_timer);
@@ -182,35 +183,35 @@
 
 /* Carries out an action of the flow. If an attempt cannot be sent, the flow is
    asked for the next action. */
-static void do_action(WPRelay *r, const WPMove *first)
+static void do_action(WPRelay *r, const WPFlowAction *first)
 {
-    WPMove m = *first;
+    WPFlowAction m = *first;
     share_findings(r);
-    if (m.kind != WP_MOVE_PASS)
+    if (m.kind != WP_FLOW_FORWARD)
         cancel_attempt(r);
-    while (m.kind == WP_MOVE_SEND && !send_attempt(r, &m)) {
+    while (m.kind == WP_FLOW_SEND && !send_attempt(r, &m)) {
         wp_relay_note_result(r, "unreachable");
-        wp_flow_lost(r->flow, wp_clock_now(0), WP_LOSS_UNSENT, &m);
+        wp_flow_on_lost(r->flow, wp_clock_now(0), WP_LOSS_UNSENT, &m);
     }
     switch (m.kind) {
-    case WP_MOVE_SEND:
+    case WP_FLOW_SEND:
         break;
-    case WP_MOVE_PASS:
+    case WP_FLOW_FORWARD:
         event_del(r->first_byte_timer);
         if (r->upstream_conn && r->answer_streams)
             begin_stream(r);
         else
             forward_answer(r);
         break;
-    case WP_MOVE_HOLD:
+    case WP_FLOW_HOLD:
         hold_for_routes(r, m.retry_ms);
         break;
-    case WP_MOVE_FAIL:
-        if (m.barred)
+    case WP_FLOW_FAIL:
+        if (m.excluded)
             wp_relay_note_excluded(r, &m);
         send_own_answer(r, m.code, m.retry_ms);
         break;
-    case WP_MOVE_CUT:
+    case WP_FLOW_ABORT:
         abort_answer(r, m.code);
         break;
     }
@@ -240,18 +241,18 @@
    the body may take long to arrive. */
 static void note_head(WPRelay *r)
 {
-    const WPReplica *s = r->flow->leg.replica;
-    WPHeard heard;
-    wp_flow_head(r->flow, wp_clock_now(0), &r->answer, &heard);
+    const WPReplica *s = r->flow->attempt.replica;
+    WPHeadChanges heard;
+    wp_flow_on_head(r->flow, wp_clock_now(0), &r->answer, &heard);
     wp_relay_log_head_changes(r, s, &heard);
-    if (heard.leaves || heard.rests || heard.limit == WP_LIMIT_CHANGED)
+    if (heard.draining || heard.backoff || heard.limit == WP_LIMIT_CHANGED)
         wp_sync_schedule_notices(r->host->sync);
 }
 
 static void on_head(void *arg, const WPHead *h)
 {
     WPRelay *r = arg;
-    WPMove m;
+    WPFlowAction m;
     r->host->platform->read_answer(h, &r->answer);
     wp_relay_note_answer(r);
     note_head(r);
@@ -261,17 +262,17 @@
                         h->status == 200 && !r->answer.not_run;
     if (!r->answer_streams)
         return;
-    wp_flow_answer(r->flow, wp_clock_now(0), &r->answer, &m);
+    wp_flow_on_answer(r->flow, wp_clock_now(0), &r->answer, &m);
     wp_sync_schedule_zone_updates(r->host->sync);
     do_action(r, &m);
 }
 
 static void fail_attempt(WPRelay *r, const char *how)
 {
-    WPMove m;
+    WPFlowAction m;
     wp_relay_note_result(r, how);
     cancel_attempt(r);
-    wp_flow_lost(r->flow, wp_clock_now(0), WP_LOSS_BROKEN, &m);
+    wp_flow_on_lost(r->flow, wp_clock_now(0), WP_LOSS_BROKEN, &m);
     do_action(r, &m);
 }
 
@@ -281,8 +282,8 @@
     bool in_order = wp_stream_feed(&r->stream, p, n, r->forward_buffer);
     wp_downstream_send_chunk(r->downstream_conn, r->forward_buffer->data,
                              r->forward_buffer->len);
-    wp_flow_progress(r->flow, wp_clock_now(0),
-                     r->stream.events - r->events_before_attempt);
+    wp_flow_on_events(r->flow, wp_clock_now(0),
+                      r->stream.events - r->events_before_attempt);
     if (!in_order)
         fail_attempt(r, "event_missing");
     else if (wp_downstream_is_backlogged(r->downstream_conn))
@@ -334,8 +335,8 @@
     WPDownstreamConn *p = r->downstream_conn;
     wp_downstream_send_chunk(p, r->stream.partial->data,
                              r->stream.partial->len);
-    wp_flow_done(r->flow, wp_clock_now(0),
-                 r->stream.events - r->events_before_attempt);
+    wp_flow_on_done(r->flow, wp_clock_now(0),
+                    r->stream.events - r->events_before_attempt);
     wp_relay_log_end(r, "ok", r->answer.status);
     free_relay(r);
     wp_downstream_end_chunked(p);
@@ -344,13 +345,13 @@
 static void on_complete(void *arg)
 {
     WPRelay *r = arg;
-    WPMove m;
+    WPFlowAction m;
     r->upstream_conn = NULL;
     if (r->forwards_stream) {
         finish_stream(r);
         return;
     }
-    wp_flow_answer(r->flow, wp_clock_now(0), &r->answer, &m);
+    wp_flow_on_answer(r->flow, wp_clock_now(0), &r->answer, &m);
     wp_sync_schedule_zone_updates(r->host->sync);
     do_action(r, &m);
 }
@@ -358,14 +359,14 @@
 static void on_lost(void *arg, bool sent, bool began)
 {
     WPRelay *r = arg;
-    WPMove m;
-    WPLoss how = !sent   ? WP_LOSS_UNSENT
-                 : began ? WP_LOSS_BROKEN
-                         : WP_LOSS_SILENT;
-    g_autofree char *at = g_strdup(r->flow->leg.replica->id);
+    WPFlowAction m;
+    WPAttemptLoss how = !sent   ? WP_LOSS_UNSENT
+                        : began ? WP_LOSS_BROKEN
+                                : WP_LOSS_NO_ANSWER;
+    g_autofree char *at = g_strdup(r->flow->attempt.replica->id);
     r->upstream_conn = NULL;
     wp_relay_note_result(r, !sent ? "unreachable" : began ? "broken" : "lost");
-    wp_flow_lost(r->flow, wp_clock_now(0), how, &m);
+    wp_flow_on_lost(r->flow, wp_clock_now(0), how, &m);
     if (how != WP_LOSS_UNSENT)
         wp_relay_log_connection_lost(r, at);
     do_action(r, &m);
@@ -377,25 +378,25 @@
 static void on_deadline(evutil_socket_t fd, short what, void *arg)
 {
     WPRelay *r = arg;
-    WPMove m;
+    WPFlowAction m;
     (void)fd;
     (void)what;
     wp_relay_note_result(r, "expired");
     cancel_attempt(r);
     if (r->awaits_routes)
-        wp_flow_held_out(r->flow, &m);
+        wp_flow_hold_timeout(r->flow, &m);
     else
-        wp_flow_expired(r->flow, wp_clock_now(0), &m);
+        wp_flow_on_deadline(r->flow, wp_clock_now(0), &m);
     do_action(r, &m);
 }
 
 static void on_first_byte_timeout(evutil_socket_t fd, short what, void *arg)
 {
     WPRelay *r = arg;
-    WPMove m;
+    WPFlowAction m;
     (void)fd;
     (void)what;
-    if (!wp_flow_impatient(r->flow, wp_clock_now(0), &m))
+    if (!wp_flow_on_first_byte_timeout(r->flow, wp_clock_now(0), &m))
         return;
     wp_relay_note_result(r, "overdue");
     do_action(r, &m);
@@ -435,7 +436,7 @@
 
 /* Refuses a request that the platform adapter could not parse. */
 static void refuse_request(WPDirectHost *h, WPDownstreamConn *p,
-                           const WPDirectAsk *ask, WPCode code,
+                           const WPDirectRequest *ask, WPCode code,
                            uint32_t retry_ms, const char *why)
 {
     const WPCodeInfo *i = wp_code_info(code);
@@ -464,13 +465,13 @@
 /* Parses a caller's request. Returns NULL, or why it is refused. */
 static const char *parse_request(const WPDirectHost *h, WPTime now,
                                  const WPDownstreamConn *p, const WPHead *head,
-                                 WPDirectAsk *out)
+                                 WPDirectRequest *out)
 {
     const char *problem = h->platform->parse_request(head, out);
     out->body_bytes = p->body->len;
-    out->content = content_hash(head, p->body);
+    out->content_hash = content_hash(head, p->body);
     if (h->exit_us)
-        out->stay_ms =
+        out->box_stops_in_ms =
             (uint32_t)MAX(1, (h->exit_us - now.mono_us) / WP_US_PER_MS);
     return problem;
 }
@@ -478,14 +479,14 @@
 /* Admits a request that was held until the routes were known. */
 static void admit_held(WPRelay *r, WPTime now)
 {
-    WPDirectAsk ask;
-    WPMove m;
+    WPDirectRequest ask;
+    WPFlowAction m;
     r->awaits_routes = false;
     event_del(r->deadline_timer);
     parse_request(r->host, now, r->downstream_conn, &r->downstream_conn->head,
                   &ask);
-    wp_flow_enter(r->flow, now, &ask, &m);
-    if (m.kind == WP_MOVE_SEND)
+    wp_flow_admit(r->flow, now, &ask, &m);
+    if (m.kind == WP_FLOW_SEND)
         set_deadline_timer(r, now);
     do_action(r, &m);
 }
@@ -504,8 +505,8 @@
 {
     WPDirectHost *h = arg;
     WPTime now = wp_clock_now(0);
-    WPDirectAsk ask;
-    WPMove m;
+    WPDirectRequest ask;
+    WPFlowAction m;
     const char *problem = parse_request(h, now, p, head, &ask);
     if (problem) {
         refuse_request(h, p, &ask, WP_BAD_REQUEST, 0, problem);
@@ -515,7 +516,7 @@
     if (ask.resumes)
         wp_stream_set_last_id(&r->stream, ask.after_event);
     r->flow = wp_flow_begin(&h->direct, now, &ask, &m);
-    if (m.kind == WP_MOVE_SEND)
+    if (m.kind == WP_FLOW_SEND)
         set_deadline_timer(r, now);
     do_action(r, &m);
 }
@@ -528,7 +529,7 @@
         return;
     wp_relay_note_result(r, "caller_gone");
     cancel_attempt(r);
-    wp_flow_left(r->flow, wp_clock_now(0));
+    wp_flow_on_caller_gone(r->flow, wp_clock_now(0));
     wp_relay_log_end(r, "caller_gone", 0);
     free_relay(r);
 }
--- a/io/wp_relay_int.h
+++ b/io/wp_relay_int.h
@@ -40,11 +40,11 @@
 /* Logs the changes of the state of endpoint `s` that the head of its answer
    reported. */
 void wp_relay_log_head_changes(WPRelay *r, const WPReplica *s,
-                               const WPHeard *h);
+                               const WPHeadChanges *h);
 
 /* Appends to the log line why the request is refused: the endpoint that was
    closest to eligible, and its temporary exclusion. */
-void wp_relay_note_excluded(WPRelay *r, const WPMove *m);
+void wp_relay_note_excluded(WPRelay *r, const WPFlowAction *m);
 
 /* Logs that the connection to an endpoint was lost while it ran the request. */
 void wp_relay_log_connection_lost(WPRelay *r, const char *endpoint);
@@ -55,7 +55,7 @@
      prompt, and the time to first byte predicted from that;
    - the head of its answer;
    - the way it ended. */
-void wp_relay_note_attempt(WPRelay *r, const WPMove *m, WPTime now);
+void wp_relay_note_attempt(WPRelay *r, const WPFlowAction *m, WPTime now);
 void wp_relay_note_answer(WPRelay *r);
 void wp_relay_note_result(WPRelay *r, const char *how);
 
--- a/io/wp_relay_log.c
+++ b/io/wp_relay_log.c
@@ -27,7 +27,7 @@
              r->stream_begun_us
                  ? (double)(r->stream_begun_us - f->start_us) / WP_US_PER_MS
                  : 0);
-    snprintf(gap, sizeof(gap), "%.1f", (double)f->gap_us / WP_US_PER_MS);
+    snprintf(gap, sizeof(gap), "%.1f", (double)f->max_gap_us / WP_US_PER_MS);
     snprintf(targets, sizeof(targets), "%u+%u",
              f->route ? f->route->target_latency_ms : 0,
              f->route ? f->route->max_event_gap_ms : 0);
@@ -49,10 +49,10 @@
     const WPFlow *f = r->flow;
     char hash[NUMBER_SIZE], lost[NUMBER_SIZE];
     snprintf(hash, sizeof(hash), "%016lx", (unsigned long)f->hash);
-    snprintf(lost, sizeof(lost), "%u", f->ended);
-    wp_log(&r->host->log, f->ended > 1 ? WP_WARN : WP_INFO, "ended_under", "id",
-           f->id, "request_hash", hash, "endpoint", endpoint, "ended", lost,
-           NULL);
+    snprintf(lost, sizeof(lost), "%u", f->endpoints_lost);
+    wp_log(&r->host->log, f->endpoints_lost > 1 ? WP_WARN : WP_INFO,
+           "ended_under", "id", f->id, "request_hash", hash, "endpoint",
+           endpoint, "ended", lost, NULL);
 }
 
 static void log_limit(WPRelay *r, const WPReplica *s, double was)
@@ -68,31 +68,32 @@
 static void log_backoff(WPRelay *r, const WPReplica *s)
 {
     char seconds[NUMBER_SIZE];
-    snprintf(seconds, sizeof(seconds), "%.3f", r->answer.rest.backoff_s);
+    snprintf(seconds, sizeof(seconds), "%.3f", r->answer.backoff.backoff_s);
     wp_log(&r->host->log, WP_INFO, "endpoint_rests", "endpoint", s->id,
            "service", s->service, "version", s->version, "seconds", seconds,
            "id", r->flow->id, NULL);
 }
 
-void wp_relay_log_head_changes(WPRelay *r, const WPReplica *s, const WPHeard *h)
+void wp_relay_log_head_changes(WPRelay *r, const WPReplica *s,
+                               const WPHeadChanges *h)
 {
     if (h->limit == WP_LIMIT_CHANGED)
-        log_limit(r, s, h->limit_was);
+        log_limit(r, s, h->previous_limit);
     if (h->limit == WP_LIMIT_REPORT_INVALID)
         wp_log(&r->host->log, WP_WARN, "endpoint_limit_bad", "endpoint", s->id,
                "id", r->flow->id, NULL);
-    if (h->leaves)
+    if (h->draining)
         wp_log(&r->host->log, WP_INFO, "endpoint_leaving", "endpoint", s->id,
                "service", s->service, "version", s->version, "zone", s->zone,
                "from", "answer", "id", r->flow->id, NULL);
-    if (h->rests)
+    if (h->backoff)
         log_backoff(r, s);
-    if (h->bad)
+    if (h->bad_field)
         wp_log(&r->host->log, WP_WARN, "endpoint_notice_bad", "endpoint", s->id,
-               "field", h->bad, "id", r->flow->id, NULL);
+               "field", h->bad_field, "id", r->flow->id, NULL);
 }
 
-void wp_relay_note_attempt(WPRelay *r, const WPMove *m, WPTime now)
+void wp_relay_note_attempt(WPRelay *r, const WPFlowAction *m, WPTime now)
 {
     r->registry_age_ms = wp_sync_registry_age_ms(r->host->sync, now);
     const WPReplica *s = m->replica;
@@ -102,30 +103,30 @@
             : -1;
     g_string_append_printf(
         r->attempts_text, "%s%s:%s:%s:%.*s:load=%u+%u/%u:age=%ldms",
-        r->attempts_text->len ? "," : "", wp_why_name(m->why), s->id,
-        s->version, (int)m->model.n, m->model.p, s->reported.running,
+        r->attempts_text->len ? "," : "", wp_attempt_reason_name(m->reason),
+        s->id, s->version, (int)m->model.n, m->model.p, s->reported.running,
         s->reported.waiting, s->slots, (long)age_ms);
-    const WPAttempt *attempt = &r->flow->leg;
-    if (attempt->expect_us > 0)
+    const WPAttempt *attempt = &r->flow->attempt;
+    if (attempt->expected_ttfb_us > 0)
         g_string_append_printf(r->attempts_text, ":unread=%u:expect=%.0fms",
-                               attempt->work.uncached_tokens,
-                               attempt->expect_us / WP_US_PER_MS);
-    if (m->fetch)
-        g_string_append_printf(r->attempts_text, ":fetch=%s", m->fetch);
+                               attempt->ttfb_inputs.uncached_tokens,
+                               attempt->expected_ttfb_us / WP_US_PER_MS);
+    if (m->prefix_source)
+        g_string_append_printf(r->attempts_text, ":fetch=%s", m->prefix_source);
     if (wp_fleet_is_cold(s, now))
         g_string_append(r->attempts_text, ":cold");
 }
 
-void wp_relay_note_excluded(WPRelay *r, const WPMove *m)
+void wp_relay_note_excluded(WPRelay *r, const WPFlowAction *m)
 {
-    const WPReplica *s = m->barred;
+    const WPReplica *s = m->excluded;
     int64_t now_us = wp_clock_now(0).mono_us;
     g_string_append_printf(r->attempts_text, "%snone:%s",
                            r->attempts_text->len ? "," : "", s->id);
-    if (m->bar == WP_EXCLUDED_LIMIT)
+    if (m->exclusion == WP_EXCLUDED_LIMIT)
         g_string_append_printf(r->attempts_text, ":limit=%g",
                                wp_fleet_limit_of(s));
-    else if (m->bar == WP_EXCLUDED_BACKOFF)
+    else if (m->exclusion == WP_EXCLUDED_BACKOFF)
         g_string_append_printf(r->attempts_text, ":rest=%.3fs",
                                (double)(s->reported.backoff_until_us - now_us) /
                                    WP_US_PER_S);
@@ -140,22 +141,23 @@
 
 void wp_relay_note_answer(WPRelay *r)
 {
-    int64_t us = wp_clock_now(0).mono_us - r->flow->leg.sent_us;
+    int64_t us = wp_clock_now(0).mono_us - r->flow->attempt.sent_us;
     g_string_append_printf(r->attempts_text, ":%d/%ldms", r->answer.status,
                            (long)(us / WP_US_PER_MS));
     if (r->answer.confidence >= 0)
         g_string_append_printf(r->attempts_text, "/conf=%d",
                                r->answer.confidence);
-    if (r->answer.pace)
-        g_string_append_printf(r->attempts_text, "/pace=%u", r->answer.pace);
+    if (r->answer.slowdown)
+        g_string_append_printf(r->attempts_text, "/pace=%u",
+                               r->answer.slowdown);
     if (r->answer.not_run)
         g_string_append(r->attempts_text, "/not_run");
     if (r->answer.limit.status == WP_LIMIT_FIELD_PRESENT)
         g_string_append_printf(r->attempts_text, "/limit=%g",
                                r->answer.limit.per_s);
-    if (r->answer.leaving.status == WP_NOTICE_PRESENT)
+    if (r->answer.draining.status == WP_NOTICE_PRESENT)
         g_string_append(r->attempts_text, "/leaving");
-    if (r->answer.rest.status == WP_NOTICE_PRESENT)
+    if (r->answer.backoff.status == WP_NOTICE_PRESENT)
         g_string_append_printf(r->attempts_text, "/rest=%gs",
-                               r->answer.rest.backoff_s);
+                               r->answer.backoff.backoff_s);
 }
--- a/io/wp_reply.c
+++ b/io/wp_reply.c
@@ -56,13 +56,14 @@
     add_header(x->http, WP_H_REQUEST_ID, q->id);
     add_header(x->http, WP_H_VERSION, q->version);
     add_header(x->http, WP_H_RAN, "ran");
-    if (q->moved)
+    if (q->session_moved)
         add_header(x->http, WP_H_SESSION_MOVED, "true");
-    if (!q->token)
+    if (!q->new_session_token)
         return;
-    g_autofree char *cookie = g_strdup_printf(
-        WP_SESSION_COOKIE "=%s; Path=/; HttpOnly; SameSite=Lax", q->token);
-    add_header(x->http, WP_H_SESSION_TOKEN, q->token);
+    g_autofree char *cookie =
+        g_strdup_printf(WP_SESSION_COOKIE "=%s; Path=/; HttpOnly; SameSite=Lax",
+                        q->new_session_token);
+    add_header(x->http, WP_H_SESSION_TOKEN, q->new_session_token);
     add_header(x->http, "Set-Cookie", cookie);
 }
 
@@ -84,7 +85,7 @@
         return;
     if (!x->reply_started) {
         x->reply_started = true;
-        x->request->passed_on = true;
+        x->request->answer_started = true;
         add_answer_headers(x);
         evhttp_send_reply_start(x->http, x->status, NULL);
     }
--- a/io/wp_reports.c
+++ b/io/wp_reports.c
@@ -1,6 +1,6 @@
 /* Usage reports: carries out what src/wp_report_lease.c decides. */
 #include "wp_reports.h"
-#include "wp_duty.h"
+#include "wp_report_lease.h"
 #include "wp_http.h"
 #include "wp_pb.h"
 #include "wp_usage_updates.h"
@@ -20,7 +20,7 @@
     WPSync *sync;
     WPUsage *usage;
     WPUsageUpdates *news;
-    WPDuty *duty;
+    WPReportLease *duty;
     char *box; /* a copy, as a reload frees the settings */
     WPHttp *service;
     GByteArray *value;   /* of the write in progress */
@@ -43,13 +43,13 @@
 
 /* Whether this box may hold the lease. Only one that receives the other boxes'
    counts may report them. */
-static WPDutyFit eligibility_of(const WPReports *r)
+static WPReportEligibility eligibility_of(const WPReports *r)
 {
     const WPSync *s = r->sync;
     if (!s->store_up || !s->complete)
-        return WP_DUTY_CANNOT;
+        return WP_REPORT_STORE_DOWN;
     bool eligible = !s->host->draining && wp_peers_is_relay_root(s->peers);
-    return eligible ? WP_DUTY_MAY : WP_DUTY_YIELDS;
+    return eligible ? WP_REPORT_ELIGIBLE : WP_REPORT_YIELD;
 }
 
 static uint64_t total_of(const Wp__SettledUsage *u)
@@ -81,7 +81,7 @@
     bool done = res->ok && res->succeeded;
     if (!res->ok)
         wp_count(counters_of(r), WP_C_STORE_ERRORS);
-    wp_duty_written(r->duty, now, done, res->revision);
+    wp_report_lease_written(r->duty, now, done, res->revision);
     if (done)
         wp_store_apply(r->sync, WP_KEY_REPORT_LEASE, &value, res->revision,
                        false);
@@ -91,7 +91,7 @@
     g_clear_pointer(&r->value, g_byte_array_unref);
 }
 
-static void write_record(WPReports *r, const WPDutyAct *a)
+static void write_record(WPReports *r, const WPReportAction *a)
 {
     WPSync *s = r->sync;
     const WPKvCompare compare = { WP_KEY_REPORT_LEASE, a->revision };
@@ -100,7 +100,7 @@
                         wp_strn((const char *)r->value->data, r->value->len),
                         false };
     wp_count(counters_of(r), WP_C_STORE_WRITES);
-    if (!strcmp(a->why, "settles"))
+    if (!strcmp(a->reason, "settles"))
         log_settled(r, a->record);
     s->kv->ops->txn(s->kv, &compare, 1, &op, 1, on_written, r);
 }
@@ -115,17 +115,18 @@
     (void)body;
     snprintf(window, sizeof(window), "%lu", (gulong)r->window);
     snprintf(code, sizeof(code), "%d", status);
-    snprintf(fence, sizeof(fence), "%lu", (gulong)wp_duty_fence(r->duty));
+    snprintf(fence, sizeof(fence), "%lu",
+             (gulong)wp_report_lease_fence(r->duty));
     snprintf(ms, sizeof(ms), "%.1f",
              (double)(now.mono_us - r->sent_us) / WP_US_PER_MS);
     wp_count(counters_of(r), accepted ? WP_C_REPORTS : WP_C_REPORTS_FAILED);
     wp_log(log_of(r), accepted ? WP_INFO : WP_WARN,
            accepted ? "usage_reported" : "usage_report_failed", "window",
            window, "fence", fence, "status", code, "ms", ms, NULL);
-    wp_duty_sent(r->duty, now, accepted);
+    wp_report_lease_sent(r->duty, now, accepted);
 }
 
-static void send_report(WPReports *r, WPTime now, const WPDutyAct *a)
+static void send_report(WPReports *r, WPTime now, const WPReportAction *a)
 {
     WPUsageReport t;
     r->sync->host->platform->write_report(r->box, a->fence, a->report, &t);
@@ -143,20 +144,21 @@
 
 static void log_holder(WPReports *r)
 {
-    bool holds = wp_duty_is_mine(r->duty);
+    bool holds = wp_report_lease_is_held(r->duty);
     char fence[NUMBER_SIZE];
     if (holds == r->holder)
         return;
     r->holder = holds;
-    snprintf(fence, sizeof(fence), "%lu", (gulong)wp_duty_fence(r->duty));
+    snprintf(fence, sizeof(fence), "%lu",
+             (gulong)wp_report_lease_fence(r->duty));
     wp_log(log_of(r), WP_INFO, holds ? "duty_taken" : "duty_lost", "duty",
            "usage", "fence", fence, NULL);
 }
 
 static void log_problems(WPReports *r, WPTime now)
 {
-    const char *problem = wp_duty_problem(r->duty, now);
-    uint64_t missed = wp_duty_missed(r->duty) - r->missed;
+    const char *problem = wp_report_lease_problem(r->duty, now);
+    uint64_t missed = wp_report_lease_missed(r->duty) - r->missed;
     char n[NUMBER_SIZE];
     if (problem && problem != r->problem)
         wp_log(log_of(r), WP_ERROR_LEVEL, "usage_barred", "why", problem, NULL);
@@ -171,12 +173,12 @@
 
 void wp_reports_tick(WPReports *r, WPTime now)
 {
-    WPDutyAct a;
+    WPReportAction a;
     wp_usage_updates_tick(r->news, now);
-    wp_duty_next(r->duty, now, eligibility_of(r), &a);
-    if (a.kind == WP_DUTY_WRITE)
+    wp_report_lease_next(r->duty, now, eligibility_of(r), &a);
+    if (a.kind == WP_REPORT_WRITE)
         write_record(r, &a);
-    else if (a.kind == WP_DUTY_SEND)
+    else if (a.kind == WP_REPORT_SEND)
         send_report(r, now, &a);
     log_holder(r);
     log_problems(r, now);
@@ -189,7 +191,7 @@
 
 void wp_reports_mark_all_unsent(WPReports *r)
 {
-    wp_usage_tell_all(r->usage);
+    wp_usage_mark_all_unsent(r->usage);
 }
 
 void wp_reports_observe_record(WPReports *r, const WPStr *value,
@@ -200,27 +202,27 @@
         value
             ? wp__duty_record__unpack(NULL, value->n, (const uint8_t *)value->p)
             : NULL;
-    wp_duty_record(r->duty, now, revision, rec, value && !rec);
+    wp_report_lease_observe(r->duty, now, revision, rec, value && !rec);
     wp_pb_free(rec);
 }
 
 void wp_reports_fill_digest(const WPReports *r, WPTime now, Wp__MirrorDigest *d)
 {
     d->has_clock_ms = 1;
-    d->clock_ms = (uint64_t)wp_usage_own_clock_ms(r->usage, now.mono_us);
+    d->clock_ms = (uint64_t)wp_usage_local_clock_ms(r->usage, now.mono_us);
 }
 
 void wp_reports_observe_clock(WPReports *r, WPTime now, const char *from,
                               const Wp__MirrorDigest *d)
 {
     if (d->has_clock_ms)
-        wp_usage_hear_clock(r->usage, now, wp_hash(wp_str(from), 0),
-                            (int64_t)d->clock_ms);
+        wp_usage_observe_clock(r->usage, now, wp_hash(wp_str(from), 0),
+                               (int64_t)d->clock_ms);
 }
 
 bool wp_reports_is_holder(const WPReports *r)
 {
-    return wp_duty_is_mine(r->duty);
+    return wp_report_lease_is_held(r->duty);
 }
 
 /* Whether the settings ask for usage reports. Logs names in the setting
@@ -266,12 +268,12 @@
                             late_ms + KEEP_WINDOWS * window_ms);
     wp_usage_start_clock(r->usage, now);
     r->news = wp_usage_updates_new(s->peers, r->usage);
-    const WPDutyRules rules = { .box = r->box,
-                                .window_ms = window_ms,
-                                .late_ms = late_ms,
-                                .lease_ms = (uint32_t)set->duty_lease_ms,
-                                .haste = s->staleness.jitter };
-    r->duty = wp_duty_new(&rules, r->usage, now);
+    const WPReportLeaseRules rules = { .box = r->box,
+                                       .window_ms = window_ms,
+                                       .report_deadline_ms = late_ms,
+                                       .lease_ms = (uint32_t)set->duty_lease_ms,
+                                       .jitter = s->staleness.jitter };
+    r->duty = wp_report_lease_new(&rules, r->usage, now);
     s->host->direct.usage = r->usage;
     return r;
 }
@@ -283,7 +285,7 @@
     r->sync->host->direct.usage = NULL;
     wp_http_free(r->service);
     wp_usage_updates_free(r->news);
-    wp_duty_free(r->duty);
+    wp_report_lease_free(r->duty);
     wp_usage_free(r->usage);
     if (r->value)
         g_byte_array_unref(r->value);
--- a/io/wp_request_parse.c
+++ b/io/wp_request_parse.c
@@ -62,7 +62,7 @@
     const char *deadline = wp_http_header(r, WP_H_DEADLINE);
     const char *idempotency_key = wp_http_header(r, WP_H_IDEMPOTENCY_KEY);
     const char *token = wp_http_header(r, WP_H_SESSION_TOKEN);
-    WPAsk *a = &out->params;
+    WPRequestParams *a = &out->params;
     a->workspace = wp_request_workspace(p, r);
     if (!a->workspace)
         return WP_NO_KEY;
@@ -86,7 +86,7 @@
         *detail = WP_H_IDEMPOTENCY_KEY ": too long";
         return WP_BAD_REQUEST;
     }
-    a->once_key = wp_str(idempotency_key);
+    a->idempotency_key = wp_str(idempotency_key);
     a->session_id = wp_str(wp_http_header(r, WP_H_SESSION));
     if (!token)
         token = out->cookie_token = read_session_cookie(r);
@@ -95,7 +95,7 @@
 }
 
 static bool find_kind(const WPPolicy *p, const char *header, const char *model,
-                      WPAsk *a)
+                      WPRequestParams *a)
 {
     if (header)
         a->kind = wp_policy_kind(p, header);
@@ -109,7 +109,7 @@
 /* Estimates the prompt's tokens from the bytes of all messages, and hashes the
    messages that begin within the first PREFIX_BYTES (of each, PREFIX_BYTES at
    most). */
-static void read_messages(const json_t *messages, WPAsk *a)
+static void read_messages(const json_t *messages, WPRequestParams *a)
 {
     size_t i, bytes = 0;
     json_t *m;
@@ -137,7 +137,7 @@
 WPCode wp_request_parse_chat(const WPPolicy *p, struct evhttp_request *r,
                              WPParsedRequest *out, const char **detail)
 {
-    WPAsk *a = &out->params;
+    WPRequestParams *a = &out->params;
     WPCode code = read_headers(p, r, out, detail);
     if (code != WP_OK)
         return code;
@@ -166,7 +166,7 @@
 WPCode wp_request_parse_service(const WPPolicy *p, struct evhttp_request *r,
                                 WPParsedRequest *out, const char **detail)
 {
-    WPAsk *a = &out->params;
+    WPRequestParams *a = &out->params;
     const char *uri = evhttp_request_get_uri(r);
     const char *name = uri + strlen(SERVICE_PREFIX);
     const char *rest = strpbrk(name, "/?");
--- a/io/wp_request_parse.h
+++ b/io/wp_request_parse.h
@@ -23,7 +23,7 @@
 
 /* A parsed request, with the strings that `params` points to. */
 typedef struct WPParsedRequest {
-    WPAsk params;
+    WPRequestParams params;
     json_t *body;       /* chat requests: the parsed body */
     char *cookie_token; /* session token, if it came in the cookie */
     char *service;      /* plain services: the name from the path */
--- a/io/wp_runner.c
+++ b/io/wp_runner.c
@@ -17,7 +17,7 @@
     r->job = j;
     r->link = l;
     r->window = j->start->window;
-    j->io = r;
+    j->user_data = r;
     l->in_flight++;
     wp_list_append(&owner->jobs, &r->node);
     return r;
@@ -43,7 +43,7 @@
     if (!r->link)
         return;
     f->has_stream = 1;
-    f->stream = r->job->stream;
+    f->stream = r->job->stream_id;
     wp_link_send(r->link, f);
 }
 
@@ -70,18 +70,18 @@
     wp_engine_start(r);
 }
 
-static void apply_decision(WPRun *r, const WPVerdict *v)
+static void apply_decision(WPRun *r, const WPAgentDecision *v)
 {
     switch (v->kind) {
-    case WP_VERDICT_RUN:
+    case WP_AGENT_RUN:
         accept_run(r);
         break;
-    case WP_VERDICT_REFUSE:
+    case WP_AGENT_REFUSE:
         wp_run_refuse(r, v->code, wp_code_info(v->code)->ran, v->retry_ms);
         free_run(r);
         break;
-    case WP_VERDICT_WAIT:
-    case WP_VERDICT_HOLD:
+    case WP_AGENT_QUEUED:
+    case WP_AGENT_HOLD:
         break;
     }
 }
@@ -89,13 +89,13 @@
 /* Starts jobs that a free slot or a new configuration allows to start. */
 static void start_ready_jobs(WPRunner *owner)
 {
-    WPVerdict v;
+    WPAgentDecision v;
     WPJob *j;
     if (owner->starting_jobs)
         return;
     owner->starting_jobs = true;
-    while ((j = wp_agent_next(owner->agent, now_of(owner), &v)))
-        apply_decision(j->io, &v);
+    while ((j = wp_agent_next_job(owner->agent, now_of(owner), &v)))
+        apply_decision(j->user_data, &v);
     owner->starting_jobs = false;
 }
 
@@ -130,8 +130,8 @@
     end.has_whole = 1;
     end.whole = complete;
     end.bill_seq =
-        wp_agent_ended(owner->agent, now_of(owner), r->job, true, complete,
-                       usage.prompt_tokens, usage.answer_tokens);
+        wp_agent_finish_job(owner->agent, now_of(owner), r->job, true, complete,
+                            usage.prompt_tokens, usage.answer_tokens);
     f.body_case = WP__FRAME__BODY_END;
     f.end = &end;
     wp_run_send(r, &f);
@@ -142,7 +142,8 @@
 void wp_run_not_started(WPRun *r, WPCode code, uint32_t retry_ms)
 {
     WPRunner *owner = r->runner;
-    wp_agent_ended(owner->agent, now_of(owner), r->job, false, false, 0, 0);
+    wp_agent_finish_job(owner->agent, now_of(owner), r->job, false, false, 0,
+                        0);
     wp_run_refuse(r, code, WP_RAN_NOT_RUN, retry_ms);
     free_run(r);
     start_ready_jobs(owner);
@@ -152,7 +153,7 @@
 {
     wp_list_each (it, &owner->jobs) {
         WPRun *r = wp_list_item(it, WPRun, node);
-        if (r->link == l && r->job->stream == stream)
+        if (r->link == l && r->job->stream_id == stream)
             return r;
     }
     return NULL;
@@ -163,7 +164,7 @@
 {
     WPRunner *owner = r->runner;
     if (!r->started) {
-        wp_agent_dropped(owner->agent, now_of(owner), r->job);
+        wp_agent_abandon_job(owner->agent, now_of(owner), r->job);
         free_run(r);
         return;
     }
@@ -171,14 +172,14 @@
     bool written = r->con && r->con->written;
     usage_of(r, &prompt, &answer);
     wp_engine_abort(r);
-    wp_agent_ended(owner->agent, now_of(owner), r->job, written, false, prompt,
-                   answer);
+    wp_agent_finish_job(owner->agent, now_of(owner), r->job, written, false,
+                        prompt, answer);
     free_run(r);
 }
 
 static void on_start(WPRunner *owner, WPLink *l, Wp__Frame *f)
 {
-    WPVerdict v;
+    WPAgentDecision v;
     Wp__Start *start = f->start;
     f->start = NULL; /* the job takes ownership */
     f->body_case = WP__FRAME__BODY__NOT_SET;
@@ -203,7 +204,7 @@
         start_ready_jobs(owner);
         break;
     case WP__FRAME__BODY_HANDOVER:
-        wp_agent_handed(owner->agent, now_of(owner), f->handover);
+        wp_agent_receive_handover(owner->agent, now_of(owner), f->handover);
         break;
     case WP__FRAME__BODY_WINDOW:
         r = find_run(owner, l, f->stream);
@@ -265,7 +266,7 @@
 static void role_tick(void *role, WPTime now)
 {
     WPRunner *r = role;
-    wp_agent_offer(r->agent, now, send_handover, r);
+    wp_agent_hand_over_to_joining(r->agent, now, send_handover, r);
     wp_engine_close_surplus(role);
     start_ready_jobs(role);
 }
@@ -285,8 +286,8 @@
 static void role_drain(void *role, WPTime now)
 {
     WPRunner *r = role;
-    wp_agent_leave(r->agent, now);
-    wp_agent_hand_over(r->agent, now, send_handover, r);
+    wp_agent_start_drain(r->agent, now);
+    wp_agent_hand_over_keys(r->agent, now, send_handover, r);
     wp_hub_each(wp_host_hub(r->host), send_load, NULL);
 }
 
--- a/io/wp_server.c
+++ b/io/wp_server.c
@@ -93,7 +93,7 @@
 {
     WPParsedRequest text = { 0 };
     const char *detail = NULL;
-    WPStep step;
+    WPEntryAction step;
     WPCode code = can_serve(s);
     if (code == WP_OK)
         code = parse(wp_entry_policy(s->entry), r, &text, &detail);
@@ -189,12 +189,12 @@
 {
     WPEntry *e = x->server->entry;
     if (now.mono_us >= x->request->deadline_us) {
-        WPStep step = wp_entry_expired(e, now, x->request);
+        WPEntryAction step = wp_entry_deadline_passed(e, now, x->request);
         wp_exchange_cancel(x);
         wp_exchange_run_action(x, step);
     } else if (x->retry_at_us && now.mono_us >= x->retry_at_us) {
         x->retry_at_us = 0;
-        wp_exchange_run_action(x, wp_entry_again(e, now, x->request));
+        wp_exchange_run_action(x, wp_entry_retry(e, now, x->request));
     }
 }
 
@@ -258,7 +258,7 @@
     if (code != WP_OK) {
         wp_reply_error(r, NULL, code, 0, NULL);
     } else {
-        GPtrArray *lines = wp_entry_why(s->entry, now_of(s), &text.params);
+        GPtrArray *lines = wp_entry_explain(s->entry, now_of(s), &text.params);
         json_t *list = json_array();
         for (guint i = 0; i < lines->len; i++)
             json_array_append_new(list, json_string(lines->pdata[i]));
--- a/io/wp_server_int.h
+++ b/io/wp_server_int.h
@@ -54,7 +54,7 @@
 
 /* Carries out what the entry has decided: sends an attempt, has the answer
    checked, waits for a retry, or ends and frees the exchange. */
-void wp_exchange_run_action(WPExchange *x, WPStep step);
+void wp_exchange_run_action(WPExchange *x, WPEntryAction step);
 
 /* Cancels the current attempt, if there is one, at its agent. */
 void wp_exchange_cancel(WPExchange *x);
--- a/io/wp_store_apply.c
+++ b/io/wp_store_apply.c
@@ -11,7 +11,7 @@
     WPDirectHost *h = s->host;
     char version[24];
     snprintf(version, sizeof(version), "%lu", (unsigned long)t->version);
-    if (!wp_direct_routes(&h->direct, t))
+    if (!wp_direct_set_routes(&h->direct, t))
         return;
     wp_downstream_set_limits(h->downstream, &h->direct.routes->limits);
     wp_log(&h->log, WP_INFO, "routes", "version", version, NULL);
--- a/io/wp_sync.c
+++ b/io/wp_sync.c
@@ -59,7 +59,7 @@
     s->store_changed_us = now_us;
     s->store_up = up;
     s->store_tried = true;
-    s->host->direct.start.store_unavailable = !up;
+    s->host->direct.startup.store_unavailable = !up;
     wp_peers_schedule_digest(s->peers);
     wp_log(&s->host->log, up ? WP_INFO : WP_WARN,
            up ? "store_regained" : "store_lost", NULL);
--- a/io/wp_usage_updates.c
+++ b/io/wp_usage_updates.c
@@ -55,7 +55,7 @@
 
 static bool is_row_of(const Wp__UsageRow *r, const WPUsageCount *c)
 {
-    return r->life == c->life && r->window == c->window;
+    return r->life == c->incarnation && r->window == c->window;
 }
 
 static Wp__UsageRow *row_for(Message *m, const WPUsageCount *c)
@@ -69,9 +69,9 @@
     Wp__UsageRow *r = &m->rows[m->n_rows];
     m->list[m->n_rows++] = r;
     wp__usage_row__init(r);
-    r->life = c->life;
+    r->life = c->incarnation;
     r->window = c->window;
-    r->has_far = r->far = c->far;
+    r->has_far = r->far = c->remote_zone;
     r->workspaces = &m->workspaces[m->n_cells];
     r->counts = &m->counts[m->n_cells];
     return r;
@@ -81,7 +81,7 @@
 static void add_count(void *arg, const WPUsageCount *c)
 {
     Message *m = arg;
-    if (m->is_relay_root && c->far)
+    if (m->is_relay_root && c->remote_zone)
         return;
     Wp__UsageRow *r = row_for(m, c);
     m->workspaces[m->n_cells] = (char *)c->workspace;
@@ -97,7 +97,7 @@
         return;
     g_free(n->relay_root);
     n->relay_root = g_strdup(relay_root);
-    wp_usage_tell_all(n->usage);
+    wp_usage_mark_all_unsent(n->usage);
 }
 
 void wp_usage_updates_tick(WPUsageUpdates *n, WPTime now)
@@ -109,12 +109,12 @@
         return;
     note_relay_root(n, relay_root);
     n->sent_us = now.mono_us;
-    if (!wp_usage_any_untold(n->usage))
+    if (!wp_usage_has_unsent(n->usage))
         return;
     g_autofree Message *m = g_new0(Message, 1);
     m->owner = n;
     m->is_relay_root = wp_peers_is_relay_root(n->peers);
-    wp_usage_tell(n->usage, add_count, m);
+    wp_usage_take_unsent(n->usage, add_count, m);
     send_message(m);
 }
 
@@ -127,7 +127,7 @@
         for (size_t k = 0; k < cells; k++) {
             const WPUsageCount c = { r->life, r->window, r->workspaces[k],
                                      r->counts[k], remote_zone || r->far };
-            wp_usage_hear(n->usage, &c);
+            wp_usage_merge(n->usage, &c);
         }
     }
 }
--- a/src/wp_agent.c
+++ b/src/wp_agent.c
@@ -1,8 +1,10 @@
-/* The gate, the queue and the bills of one agent. */
+/* Admission control, the queue and the bills of one agent. */
 #include "wp_agent.h"
 #include "wp_guard.h"
 #include "wp_pb.h"
 
+/* Suggested delays of a retry after a refusal: by then the configuration or the
+   store may be up to date again, or a key may have a settled owner. */
 #define STALE_RETRY_MS 1000
 #define SETTLING_RETRY_MS 500
 
@@ -10,38 +12,40 @@
     WPNode *node;
     WPPolicy *policy;
     WPQueue *queue;
-    WPOnce *once;
+    WPIdempotency *idempotency;
     WPBills *bills;
     char **versions;
     uint32_t once_settle_ms, once_skew_ms;
-    GHashTable *offered; /* fellow's id -> incarnation that has our keys */
-    bool leaving;
-    bool off[WP_GUARD_COUNT];
-    WPList held;    /* of WPJob */
-    WPList refused; /* of WPJob by `hold`: evicted, to be answered */
+    /* agent's id -> incarnation that has our keys */
+    GHashTable *handed_over_to;
+    bool draining;
+    bool guard_off[WP_GUARD_COUNT]; /* guards that a scenario switched off */
+    WPList held;    /* of WPJob by `hold_link`: waiting for the configuration */
+    WPList refused; /* the same: evicted from the queue, to be answered */
 };
 
 WPAgent *wp_agent_new(WPNode *n, const Wp__AgentSettings *s)
 {
     const Wp__Member *self = wp_node_self(n);
-    WPOnceRules rules = { s->once_window_s, s->node->once_settle_ms,
-                          s->node->once_skew_ms };
+    WPIdempotencyRules rules = { s->once_window_s, s->node->once_settle_ms,
+                                 s->node->once_skew_ms };
     WPAgent *a = g_new0(WPAgent, 1);
     a->node = n;
     a->queue = wp_queue_new(s->slots, s->queue);
-    a->once = wp_once_new(&rules);
+    a->idempotency = wp_idempotency_new(&rules);
     a->once_settle_ms = rules.settle_ms;
     a->once_skew_ms = rules.skew_ms;
-    a->offered = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    a->handed_over_to =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     a->bills = wp_bills_new(self->id, self->incarnation, s->node->bill_batch_ms,
                             s->node->bill_limit);
     if (wp_guard_is_disabled(s->node, WP_GUARD_BILL_RETRY))
-        wp_bills_set_careless(a->bills);
+        wp_bills_set_no_retry(a->bills);
     a->versions = g_new0(char *, s->n_versions + 1);
     for (size_t i = 0; i < s->n_versions; i++)
         a->versions[i] = g_strdup(s->versions[i]);
     for (int g = 0; g < WP_GUARD_COUNT; g++)
-        a->off[g] = wp_guard_is_disabled(s->node, (WPGuard)g);
+        a->guard_off[g] = wp_guard_is_disabled(s->node, (WPGuard)g);
     wp_list_init(&a->held);
     wp_list_init(&a->refused);
     return a;
@@ -53,44 +57,44 @@
         return;
     wp_policy_unref(a->policy);
     wp_queue_free(a->queue);
-    wp_once_free(a->once);
-    g_hash_table_unref(a->offered);
+    wp_idempotency_free(a->idempotency);
+    g_hash_table_unref(a->handed_over_to);
     wp_bills_free(a->bills);
     g_strfreev(a->versions);
     g_free(a);
 }
 
-typedef struct Noting {
+typedef struct RefreshContext {
     WPAgent *agent;
     WPTime now;
-} Noting;
+} RefreshContext;
 
-static void note_left(void *arg, const WPMemberRow *r)
+static void note_departed(void *arg, const WPMemberRow *r)
 {
-    Noting *n = arg;
-    bool left = r->m->leaving || r->m->gone;
-    if (left && r->m->role == WP__ROLE__ROLE_AGENT &&
-        strcmp(r->m->id, wp_node_self(n->agent->node)->id))
-        wp_once_left(n->agent->once, n->now, r->m);
+    RefreshContext *c = arg;
+    bool departed = r->m->leaving || r->m->gone;
+    if (departed && r->m->role == WP__ROLE__ROLE_AGENT &&
+        strcmp(r->m->id, wp_node_self(c->agent->node)->id))
+        wp_idempotency_note_departed(c->agent->idempotency, c->now, r->m);
 }
 
 void wp_agent_refresh(WPAgent *a, WPTime now)
 {
     const WPConfig *c = wp_node_config(a->node);
     const WPMembers *t = wp_node_members(a->node);
-    Noting noting = { a, now };
+    RefreshContext context = { a, now };
     if (!a->policy || wp_policy_revision(a->policy) != wp_config_revision(c)) {
         wp_policy_unref(a->policy);
         a->policy = wp_policy_new(c);
         wp_node_set_policy(a->node, a->policy);
     }
-    wp_members_each(t, note_left, &noting);
+    wp_members_each(t, note_departed, &context);
     wp_bills_set_writers(a->bills, wp_members_live_count(t));
 }
 
-static WPVerdict refuse(WPCode code, uint32_t retry_ms)
+static WPAgentDecision refuse(WPCode code, uint32_t retry_ms)
 {
-    return (WPVerdict){ WP_VERDICT_REFUSE, code, retry_ms };
+    return (WPAgentDecision){ WP_AGENT_REFUSE, code, retry_ms };
 }
 
 static bool served_here(const WPAgent *a, const char *version)
@@ -112,20 +116,22 @@
     return v && wp_version_set_has(&set, v->index);
 }
 
-/* Checked when a request comes and again when its turn comes, because the
-   configuration may have changed while it waited. */
-static WPVerdict check_rules(const WPAgent *a, WPTime now, const Wp__Start *s)
+/* Whether the configuration allows the request here. Checked when it arrives
+   and again when it leaves the queue, because the configuration may have
+   changed while it waited. */
+static WPAgentDecision check_rules(const WPAgent *a, WPTime now,
+                                   const Wp__Start *s)
 {
-    WPVerdict ok = { WP_VERDICT_RUN, WP_OK, 0 };
+    WPAgentDecision ok = { WP_AGENT_RUN, WP_OK, 0 };
     const WPWorkspace *ws = wp_policy_workspace(a->policy, s->workspace);
     const WPKind *kind = wp_policy_kind(a->policy, s->kind);
-    if (a->off[WP_GUARD_ALLOWED])
+    if (a->guard_off[WP_GUARD_ALLOWED])
         return ok;
     if (!ws || !kind || !served_here(a, s->version) ||
         !version_allowed(a, s, ws, kind))
         return refuse(WP_VERSION_REFUSED, 0);
     int64_t bound_ms = (int64_t)kind->spec->stale_bound_s * WP_MS_PER_S;
-    if (bound_ms && !a->off[WP_GUARD_STALE] &&
+    if (bound_ms && !a->guard_off[WP_GUARD_STALE] &&
         wp_node_config_age_ms(a->node, now) > bound_ms)
         return refuse(WP_STALE, STALE_RETRY_MS);
     return ok;
@@ -135,25 +141,27 @@
 {
     const WPKind *kind = wp_policy_kind(a->policy, s->kind);
     return s->once_key && kind && !kind->spec->repeatable &&
-           !a->off[WP_GUARD_ONCE];
+           !a->guard_off[WP_GUARD_ONCE];
 }
 
-static WPVerdict check_key(WPAgent *a, WPTime now, WPJob *j)
+static WPAgentDecision check_key(WPAgent *a, WPTime now, WPJob *j)
 {
     const Wp__Start *s = j->start;
     const Wp__Member *self = wp_node_self(a->node);
     const WPMembers *t = wp_node_members(a->node);
-    WPVerdict ok = { WP_VERDICT_RUN, WP_OK, 0 };
+    WPAgentDecision ok = { WP_AGENT_RUN, WP_OK, 0 };
     if (!needs_key(a, s))
         return ok;
-    if (!wp_once_is_keeper(a->once, t, self, s->version, s->once_key,
-                           (uint64_t)now.wall_ms))
+    if (!wp_idempotency_is_owner(a->idempotency, t, self, s->version,
+                                 s->once_key, (uint64_t)now.wall_ms))
         return refuse(WP_NOT_KEEPER, SETTLING_RETRY_MS);
-    if (wp_once_pending(a->once, t, now, self, s->version, s->once_key))
+    if (wp_idempotency_handover_pending(a->idempotency, t, now, self,
+                                        s->version, s->once_key))
         return refuse(WP_NOT_KEEPER, SETTLING_RETRY_MS);
-    uint64_t since = wp_once_since(a->once, t, self, s->version, s->once_key);
-    WPCode code =
-        wp_once_begin(a->once, now, s->version, s->once_key, s->once_ms, since);
+    uint64_t since = wp_idempotency_owner_since(a->idempotency, t, self,
+                                                s->version, s->once_key);
+    WPCode code = wp_idempotency_begin(a->idempotency, now, s->version,
+                                       s->once_key, s->once_ms, since);
     j->holds_key = code == WP_OK;
     return code == WP_OK ? ok : refuse(code, 0);
 }
@@ -164,9 +172,9 @@
         return;
     j->holds_key = false;
     if (ran)
-        wp_once_done(a->once, now, j->start->once_key);
+        wp_idempotency_done(a->idempotency, now, j->start->once_key);
     else
-        wp_once_forget(a->once, j->start->once_key);
+        wp_idempotency_forget(a->idempotency, j->start->once_key);
 }
 
 static void fill_ticket(const WPAgent *a, WPTime now, WPJob *j)
@@ -184,7 +192,7 @@
                          : INT64_MAX;
 }
 
-static WPVerdict offer(WPAgent *a, WPTime now, WPJob *j)
+static WPAgentDecision enqueue(WPAgent *a, WPTime now, WPJob *j)
 {
     WPTicket *evicted;
     WPCode code;
@@ -194,41 +202,44 @@
     if (evicted) {
         WPJob *old = wp_list_item(evicted, WPJob, ticket);
         release_key(a, now, old, false);
-        wp_list_append(&a->refused, &old->hold);
+        wp_list_append(&a->refused, &old->hold_link);
     }
     if (admit == WP_ADMIT_REFUSE) {
         release_key(a, now, j, false);
         return refuse(code, wp_queue_retry_ms(a->queue, j->ticket.class_rank));
     }
-    j->begun = admit == WP_ADMIT_RUN;
-    return (WPVerdict){ j->begun ? WP_VERDICT_RUN : WP_VERDICT_WAIT, WP_OK, 0 };
+    j->started = admit == WP_ADMIT_RUN;
+    return (WPAgentDecision){ j->started ? WP_AGENT_RUN : WP_AGENT_QUEUED,
+                              WP_OK, 0 };
 }
 
-static WPVerdict admit(WPAgent *a, WPTime now, WPJob *j)
+static WPAgentDecision admit(WPAgent *a, WPTime now, WPJob *j)
 {
-    if (a->leaving && !a->off[WP_GUARD_LEAVING])
+    if (a->draining && !a->guard_off[WP_GUARD_LEAVING])
         return refuse(WP_LEAVING, 0);
     if (!wp_node_ready(a->node) || !a->policy)
         return refuse(WP_NOT_READY, SETTLING_RETRY_MS);
-    if (j->revision > wp_policy_revision(a->policy) && !a->off[WP_GUARD_HOLD])
-        return (WPVerdict){ WP_VERDICT_HOLD, WP_OK, 0 };
+    if (j->config_revision > wp_policy_revision(a->policy) &&
+        !a->guard_off[WP_GUARD_HOLD])
+        return (WPAgentDecision){ WP_AGENT_HOLD, WP_OK, 0 };
     if (wp_bills_full(a->bills))
         return refuse(WP_BILLS_FULL, STALE_RETRY_MS);
-    WPVerdict v = check_rules(a, now, j->start);
-    if (v.kind == WP_VERDICT_RUN)
+    WPAgentDecision v = check_rules(a, now, j->start);
+    if (v.kind == WP_AGENT_RUN)
         v = check_key(a, now, j);
-    return v.kind == WP_VERDICT_RUN ? offer(a, now, j) : v;
+    return v.kind == WP_AGENT_RUN ? enqueue(a, now, j) : v;
 }
 
-static void note(WPAgent *a, WPTime now, const WPJob *j, const WPVerdict *v)
+static void count_decision(WPAgent *a, WPTime now, const WPJob *j,
+                           const WPAgentDecision *v)
 {
     WPCounters *c = wp_node_counters(a->node);
     WPEvents *ev = wp_node_events(a->node);
-    if (v->kind == WP_VERDICT_RUN) {
+    if (v->kind == WP_AGENT_RUN) {
         wp_count(c, WP_C_STARTS);
         wp_events_add(ev, now, WP_EVENT_RUN, j->start->request_id, "%s",
                       j->start->version);
-    } else if (v->kind == WP_VERDICT_REFUSE) {
+    } else if (v->kind == WP_AGENT_REFUSE) {
         wp_count(c, WP_C_REFUSED);
         c->codes[v->code]++;
         wp_events_add(ev, now, WP_EVENT_REFUSED, j->start->request_id, "%s",
@@ -237,21 +248,21 @@
 }
 
 WPJob *wp_agent_start(WPAgent *a, WPTime now, Wp__Start *start, uint64_t link,
-                      uint64_t stream, uint64_t revision, WPVerdict *v)
+                      uint64_t stream, uint64_t revision, WPAgentDecision *v)
 {
     WPJob *j = g_new0(WPJob, 1);
     j->start = start;
-    j->link = link;
-    j->stream = stream;
-    j->revision = revision;
+    j->link_id = link;
+    j->stream_id = stream;
+    j->config_revision = revision;
     j->arrived_us = now.mono_us;
-    wp_list_init(&j->hold);
+    wp_list_init(&j->hold_link);
     wp_list_init(&j->ticket.link);
     wp_count(wp_node_counters(a->node), WP_C_REQUESTS);
     *v = admit(a, now, j);
-    if (v->kind == WP_VERDICT_HOLD)
-        wp_list_append(&a->held, &j->hold);
-    note(a, now, j, v);
+    if (v->kind == WP_AGENT_HOLD)
+        wp_list_append(&a->held, &j->hold_link);
+    count_decision(a, now, j, v);
     return j;
 }
 
@@ -259,35 +270,36 @@
 {
     if (!j)
         return;
-    wp_list_remove(&j->hold);
+    wp_list_remove(&j->hold_link);
     wp_pb_free(j->start);
     g_free(j);
 }
 
-static WPJob *next_held(WPAgent *a, WPTime now, WPVerdict *v)
+static WPJob *next_held(WPAgent *a, WPTime now, WPAgentDecision *v)
 {
     wp_list_each (it, &a->held) {
-        WPJob *j = wp_list_item(it, WPJob, hold);
-        bool late = now.mono_us - j->arrived_us > WP_HOLD_MS * WP_US_PER_MS;
-        bool known = j->revision <= wp_policy_revision(a->policy);
+        WPJob *j = wp_list_item(it, WPJob, hold_link);
+        bool late =
+            now.mono_us - j->arrived_us > WP_CONFIG_WAIT_MS * WP_US_PER_MS;
+        bool known = j->config_revision <= wp_policy_revision(a->policy);
         if (!late && !known)
             continue;
-        wp_list_remove(&j->hold);
+        wp_list_remove(&j->hold_link);
         *v = known ? admit(a, now, j) : refuse(WP_STALE, STALE_RETRY_MS);
         return j;
     }
     return NULL;
 }
 
-static WPJob *next_queued(WPAgent *a, WPTime now, WPVerdict *v)
+static WPJob *next_queued(WPAgent *a, WPTime now, WPAgentDecision *v)
 {
     WPTicket *t = wp_queue_start_next(a->queue, now.mono_us);
     if (!t)
         return NULL;
     WPJob *j = wp_list_item(t, WPJob, ticket);
     *v = check_rules(a, now, j->start);
-    if (v->kind == WP_VERDICT_RUN) {
-        j->begun = true;
+    if (v->kind == WP_AGENT_RUN) {
+        j->started = true;
         return j;
     }
     wp_queue_remove(a->queue, now.mono_us, t, false);
@@ -295,12 +307,12 @@
     return j;
 }
 
-WPJob *wp_agent_next(WPAgent *a, WPTime now, WPVerdict *v)
+WPJob *wp_agent_next_job(WPAgent *a, WPTime now, WPAgentDecision *v)
 {
     WPJob *j = NULL;
     if (!wp_list_empty(&a->refused)) {
-        j = wp_list_item(a->refused.next, WPJob, hold);
-        wp_list_remove(&j->hold);
+        j = wp_list_item(a->refused.next, WPJob, hold_link);
+        wp_list_remove(&j->hold_link);
         *v = refuse(WP_OVERLOADED,
                     wp_queue_retry_ms(a->queue, j->ticket.class_rank));
     }
@@ -317,19 +329,19 @@
     if (!j)
         j = next_queued(a, now, v);
     if (j)
-        note(a, now, j, v);
+        count_decision(a, now, j, v);
     return j;
 }
 
-uint64_t wp_agent_ended(WPAgent *a, WPTime now, WPJob *j, bool begun,
-                        bool whole, uint32_t prompt_tokens,
-                        uint32_t answer_tokens)
+uint64_t wp_agent_finish_job(WPAgent *a, WPTime now, WPJob *j, bool ran,
+                             bool complete, uint32_t prompt_tokens,
+                             uint32_t answer_tokens)
 {
     const Wp__Start *s = j->start;
     Wp__Bill b = WP__BILL__INIT;
-    wp_queue_remove(a->queue, now.mono_us, &j->ticket, whole);
-    release_key(a, now, j, begun);
-    if (!begun)
+    wp_queue_remove(a->queue, now.mono_us, &j->ticket, complete);
+    release_key(a, now, j, ran);
+    if (!ran)
         return 0;
     b.request_id = s->request_id;
     b.workspace = s->workspace;
@@ -341,34 +353,34 @@
     b.prompt_tokens = prompt_tokens;
     b.answer_tokens = answer_tokens;
     b.has_whole = 1;
-    b.whole = whole;
+    b.whole = complete;
     b.entry = s->entry;
     wp_count(wp_node_counters(a->node), WP_C_BILLS);
     wp_events_add(wp_node_events(a->node), now, WP_EVENT_ENDED, s->request_id,
-                  "%s %u tokens", whole ? "whole" : "cut", answer_tokens);
+                  "%s %u tokens", complete ? "whole" : "cut", answer_tokens);
     return wp_bills_add(a->bills, now, &b);
 }
 
-void wp_agent_dropped(WPAgent *a, WPTime now, WPJob *j)
+void wp_agent_abandon_job(WPAgent *a, WPTime now, WPJob *j)
 {
-    bool held = !wp_list_empty(&j->hold);
+    bool held = !wp_list_empty(&j->hold_link);
     if (!held && !wp_list_empty(&j->ticket.link))
         wp_queue_remove(a->queue, now.mono_us, &j->ticket, false);
     release_key(a, now, j, false);
 }
 
-typedef struct Passing {
+typedef struct HandoverContext {
     const WPAgent *agent;
     const char *successor;
     uint64_t now_ms;
     uint32_t settle_ms;
     GPtrArray *keys; /* of Wp__OnceKey */
-} Passing;
+} HandoverContext;
 
-static void pass_key(void *arg, const char *version, const char *key, bool done)
+static void add_key(void *arg, const char *version, const char *key, bool done)
 {
-    Passing *p = arg;
-    const WPMemberRow *r = wp_once_keeper(
+    HandoverContext *p = arg;
+    const WPMemberRow *r = wp_idempotency_owner(
         wp_node_members(p->agent->node), version, key, p->now_ms, p->settle_ms);
     if (!r || strcmp(r->m->id, p->successor))
         return;
@@ -387,15 +399,15 @@
     return false;
 }
 
-/* The keys that fall to `r` at the time given, in a message. */
-static void pass_to(WPAgent *a, const WPMemberRow *r, uint64_t at_ms,
-                    WPHandOver fn, void *arg)
+/* Sends the keys that `r` owns at the wall time `at_ms`, in one message. */
+static void send_handover(WPAgent *a, const WPMemberRow *r, uint64_t at_ms,
+                          WPHandoverFn fn, void *arg)
 {
     const Wp__Member *self = wp_node_self(a->node);
     Wp__Handover h = WP__HANDOVER__INIT;
-    Passing p = { a, r->m->id, at_ms, a->once_settle_ms,
-                  g_ptr_array_new_with_free_func(g_free) };
-    wp_once_each(a->once, pass_key, &p);
+    HandoverContext p = { a, r->m->id, at_ms, a->once_settle_ms,
+                          g_ptr_array_new_with_free_func(g_free) };
+    wp_idempotency_each(a->idempotency, add_key, &p);
     h.agent = self->id;
     h.incarnation = self->incarnation;
     h.keys = (Wp__OnceKey **)p.keys->pdata;
@@ -404,60 +416,64 @@
     g_ptr_array_unref(p.keys);
 }
 
-static bool is_fellow(const WPAgent *a, const Wp__Member *m)
+static bool is_peer_agent(const WPAgent *a, const Wp__Member *m)
 {
     return m->role == WP__ROLE__ROLE_AGENT && !m->leaving &&
            strcmp(m->id, wp_node_self(a->node)->id) && shares_version(a, m);
 }
 
-void wp_agent_hand_over(WPAgent *a, WPTime now, WPHandOver fn, void *arg)
+void wp_agent_hand_over_keys(WPAgent *a, WPTime now, WPHandoverFn fn, void *arg)
 {
     const WPMembers *t = wp_node_members(a->node);
     for (unsigned i = 0; i < wp_members_live_count(t); i++) {
         const WPMemberRow *r = wp_members_live_at(t, i);
-        if (is_fellow(a, r->m) && !a->off[WP_GUARD_HANDOVER])
-            pass_to(a, r, (uint64_t)now.wall_ms, fn, arg);
+        if (is_peer_agent(a, r->m) && !a->guard_off[WP_GUARD_HANDOVER])
+            send_handover(a, r, (uint64_t)now.wall_ms, fn, arg);
     }
 }
 
-/* Notes that `m` is served; false when it was before. */
-static bool first_offer(WPAgent *a, const Wp__Member *m)
+/* Notes that this incarnation of `m` gets its keys; returns false if it has
+   them already. */
+static bool mark_handed_over(WPAgent *a, const Wp__Member *m)
 {
-    uint64_t *n = g_hash_table_lookup(a->offered, m->id);
+    uint64_t *n = g_hash_table_lookup(a->handed_over_to, m->id);
     if (n && *n == m->incarnation)
         return false;
     n = g_new(uint64_t, 1);
     *n = m->incarnation;
-    g_hash_table_replace(a->offered, g_strdup(m->id), n);
+    g_hash_table_replace(a->handed_over_to, g_strdup(m->id), n);
     return true;
 }
 
-/* From `skew` before a fellow settles this agent does not run its keys any
-   more; from then on the fellow may have them. */
-void wp_agent_offer(WPAgent *a, WPTime now, WPHandOver fn, void *arg)
+/* From `once_skew_ms` before another agent settles, this one no longer runs
+   requests whose keys that agent will own (wp_idempotency_is_owner()), so from
+   then on they can be handed over. */
+void wp_agent_hand_over_to_joining(WPAgent *a, WPTime now, WPHandoverFn fn,
+                                   void *arg)
 {
     const WPMembers *t = wp_node_members(a->node);
     uint64_t at_ms = (uint64_t)now.wall_ms + a->once_skew_ms;
-    if (a->leaving || a->off[WP_GUARD_HANDOVER])
+    if (a->draining || a->guard_off[WP_GUARD_HANDOVER])
         return;
     for (unsigned i = 0; i < wp_members_live_count(t); i++) {
         const WPMemberRow *r = wp_members_live_at(t, i);
         if (r->m->incarnation + a->once_settle_ms <= at_ms &&
-            is_fellow(a, r->m) && first_offer(a, r->m))
-            pass_to(a, r, at_ms, fn, arg);
+            is_peer_agent(a, r->m) && mark_handed_over(a, r->m))
+            send_handover(a, r, at_ms, fn, arg);
     }
 }
 
-void wp_agent_handed(WPAgent *a, WPTime now, const Wp__Handover *h)
+void wp_agent_receive_handover(WPAgent *a, WPTime now, const Wp__Handover *h)
 {
     for (size_t i = 0; i < h->n_keys; i++)
-        wp_once_take(a->once, now, h->keys[i]->key, h->keys[i]->done);
-    wp_once_handed(a->once, h->agent, h->incarnation);
+        wp_idempotency_add_handed_over(a->idempotency, now, h->keys[i]->key,
+                                       h->keys[i]->done);
+    wp_idempotency_note_handover(a->idempotency, h->agent, h->incarnation);
 }
 
-void wp_agent_leave(WPAgent *a, WPTime now)
+void wp_agent_start_drain(WPAgent *a, WPTime now)
 {
-    a->leaving = true;
+    a->draining = true;
     wp_node_drain(a->node, now);
 }
 
@@ -469,8 +485,8 @@
     out->slots = wp_queue_slots(a->queue);
     out->has_service_us = 1;
     out->service_us = (uint32_t)wp_queue_service_us(a->queue);
-    out->has_leaving = a->leaving;
-    out->leaving = a->leaving;
+    out->has_leaving = a->draining;
+    out->leaving = a->draining;
 }
 
 bool wp_agent_idle(const WPAgent *a)
--- a/src/wp_agent.h
+++ b/src/wp_agent.h
@@ -1,79 +1,110 @@
-/* The agent's decisions: the last gate before an endpoint. Whatever it
- * refuses was not run. No I/O. */
+/* Admission control of an agent, the process beside an endpoint: decides
+ * whether a request from an entry runs now, waits or is refused, and makes its
+ * bill. A request that is refused was not run at the endpoint, unless its code
+ * says otherwise. No I/O: the daemon carries the decisions out. */
 #ifndef WP_AGENT_H
 #define WP_AGENT_H
 
 #include "wp_bill.h"
 #include "wp_node.h"
-#include "wp_once.h"
+#include "wp_idempotency.h"
 #include "wp_queue.h"
 
-/* How long a start waits for a configuration its entry already has. */
-enum { WP_HOLD_MS = 500 };
+/* How long a request waits for this agent to get the configuration revision
+   that its entry already has. */
+enum { WP_CONFIG_WAIT_MS = 500 };
 
 /* One request at this agent. */
 typedef struct WPJob {
     WPTicket ticket;
-    uint64_t link, stream; /* where it came from */
-    Wp__Start *start;      /* own copy */
-    uint64_t revision;     /* the entry's */
+    uint64_t link_id, stream_id; /* on which the request came */
+    Wp__Start *start;            /* the entry's message; owned */
+    uint64_t config_revision;    /* that the entry had */
     int64_t arrived_us;
-    bool begun; /* handed to the endpoint */
-    bool holds_key;
-    void *io;    /* the daemon's */
-    WPList hold; /* while it waits for the configuration */
+    bool started;     /* has a slot to run at the endpoint */
+    bool holds_key;   /* its idempotency key is marked as running here */
+    void *user_data;  /* the daemon's record of it */
+    WPList hold_link; /* while it waits for the configuration, or was evicted
+                         and has to be answered */
 } WPJob;
 
-typedef enum WPVerdictKind {
-    WP_VERDICT_RUN,   /* start it at the endpoint now */
-    WP_VERDICT_WAIT,  /* queued */
-    WP_VERDICT_HOLD,  /* until the configuration is as new as the entry's */
-    WP_VERDICT_REFUSE /* `code`; it was not run unless the code says so */
-} WPVerdictKind;
+typedef enum WPAgentDecisionKind {
+    WP_AGENT_RUN,    /* send it to the endpoint now */
+    WP_AGENT_QUEUED, /* it waits for a slot */
+    /* it waits until this agent has the entry's configuration revision */
+    WP_AGENT_HOLD,
+    WP_AGENT_REFUSE /* answer with `code`, which tells whether it ran */
+} WPAgentDecisionKind;
 
-typedef struct WPVerdict {
-    WPVerdictKind kind;
+typedef struct WPAgentDecision {
+    WPAgentDecisionKind kind;
     WPCode code;
-    uint32_t retry_ms;
-} WPVerdict;
+    uint32_t retry_ms; /* when the caller may try again; 0: none is suggested */
+} WPAgentDecision;
 
 typedef struct WPAgent WPAgent;
 
+/* The node must outlive the agent; `s` is only read during the call. */
 WPAgent *wp_agent_new(WPNode *n, const Wp__AgentSettings *s);
 void wp_agent_free(WPAgent *a);
+
+/* Takes over the node's configuration and table of boxes; to be called after
+   each change of these. */
 void wp_agent_refresh(WPAgent *a, WPTime now);
 
-/* Takes over `start`. With WP_VERDICT_REFUSE the job has only to be answered
-   and freed. */
+/* Decides on a request that has come on `stream` of `link` from an entry which
+   had this configuration revision. Takes ownership of `start`. Always returns a
+   job, to be freed with wp_job_free(), and the decision in `v`; a job that is
+   refused only has to be answered and freed. */
 WPJob *wp_agent_start(WPAgent *a, WPTime now, Wp__Start *start, uint64_t link,
-                      uint64_t stream, uint64_t revision, WPVerdict *v);
+                      uint64_t stream, uint64_t revision, WPAgentDecision *v);
 void wp_job_free(WPJob *j);
 
-/* Work that has become due, one at a time until NULL: jobs to run, jobs to
-   refuse (evicted, hopeless, held too long). The verdict tells which. */
-WPJob *wp_agent_next(WPAgent *a, WPTime now, WPVerdict *v);
+/* Returns the next job that has left a queue, NULL when there is none; to be
+   called until then. `v` is the decision: the job runs, or is refused because
+   it was evicted, can no longer meet its deadline or waited too long for the
+   configuration, or has moved from there to the queue. */
+WPJob *wp_agent_next_job(WPAgent *a, WPTime now, WPAgentDecision *v);
+
+/* Ends a job that had a slot, and makes its bill. `ran`: the endpoint got the
+   request; if not, there is no bill. `complete`: its answer is complete.
+   Returns the bill's sequence number, 0 without a bill. */
+uint64_t wp_agent_finish_job(WPAgent *a, WPTime now, WPJob *j, bool ran,
+                             bool complete, uint32_t prompt_tokens,
+                             uint32_t answer_tokens);
+
+/* Drops a job that the caller or the entry gave up before it had a slot. */
+void wp_agent_abandon_job(WPAgent *a, WPTime now, WPJob *j);
 
-/* The job's end at the endpoint: makes the bill and returns its number. With
-   `begun` false the endpoint never got it, and there is no bill (0). */
-uint64_t wp_agent_ended(WPAgent *a, WPTime now, WPJob *j, bool begun,
-                        bool whole, uint32_t prompt_tokens,
-                        uint32_t answer_tokens);
+/* Starts draining: new requests are refused from now on, and the other boxes
+   learn it from this box's member record. */
+void wp_agent_start_drain(WPAgent *a, WPTime now);
 
-/* The caller or the entry gave it up before it was begun. */
-void wp_agent_dropped(WPAgent *a, WPTime now, WPJob *j);
+/* Sends `h` to the agent at `addr`, HOST:PORT; `h` is valid during the call. */
+typedef void (*WPHandoverFn)(void *arg, const char *addr,
+                             const Wp__Handover *h);
 
-void wp_agent_leave(WPAgent *a, WPTime now);
+/* After wp_agent_start_drain(): hands the idempotency keys of this agent over
+   to the agents that own them from now on. Calls `fn` once for each agent that
+   serves one of this agent's versions, also if it gets no key: it then knows
+   that none is missing. */
+void wp_agent_hand_over_keys(WPAgent *a, WPTime now, WPHandoverFn fn,
+                             void *arg);
 
-/* After wp_agent_leave(): for each agent that may get keys of this one, what
-   to send it. `h` lives during the call. */
-typedef void (*WPHandOver)(void *arg, const char *addr, const Wp__Handover *h);
-void wp_agent_hand_over(WPAgent *a, WPTime now, WPHandOver fn, void *arg);
-/* To be called now and then: keys for agents that are about to settle. */
-void wp_agent_offer(WPAgent *a, WPTime now, WPHandOver fn, void *arg);
-void wp_agent_handed(WPAgent *a, WPTime now, const Wp__Handover *h);
+/* To be called at each tick: the same for each agent that has started lately
+   and is about to own keys of this one; once for each of its starts. */
+void wp_agent_hand_over_to_joining(WPAgent *a, WPTime now, WPHandoverFn fn,
+                                   void *arg);
 
+/* Takes in the keys that another agent has handed over. */
+void wp_agent_receive_handover(WPAgent *a, WPTime now, const Wp__Handover *h);
+
+/* Fills in this agent's load, as it is sent to entries. */
 void wp_agent_load(const WPAgent *a, Wp__Load *out);
+
+/* Whether no job runs or waits. */
 bool wp_agent_idle(const WPAgent *a);
+
 WPBills *wp_agent_bills(WPAgent *a);
 WPQueue *wp_agent_queue(WPAgent *a);
 WPPolicy *wp_agent_policy(WPAgent *a);
--- a/src/wp_allow.c
+++ b/src/wp_allow.c
@@ -10,7 +10,8 @@
     return l;
 }
 
-/* The request's labels with what rules on requests add to them. */
+/* Returns a copy of the request's labels with those that the configuration's
+   rules on requests add; `own`: labels of the workspace and kind. */
 static WPLabels *request_labels(const WPPolicy *p, const WPLabels *request,
                                 const WPLabels *own)
 {
@@ -63,7 +64,8 @@
         wp_policy_compute_allowed(p, ws, kind, request, out);
 }
 
-/* Plain services are reached by their own path, never as a model. */
+/* Versions of plain services always leave the set: their requests come by the
+   service's own path and do not name a model. */
 bool wp_policy_filter_model(const WPPolicy *p, const char *model,
                             WPVersionSet *set)
 {
--- a/src/wp_bill.c
+++ b/src/wp_bill.c
@@ -1,24 +1,26 @@
-/* Batches of bills and their folding. */
+/* Batches of bills, and charges formed from them. */
 #include "wp_bill.h"
 #include "wp_pb.h"
 
 #include <stdio.h>
 
-/* Bill writes a second that the whole fleet may use: half of what the store
-   takes, the rest is for operators and roll-outs. */
+/* Writes of bills per second from all boxes together: half of what the store
+   takes; the rest is for operators and roll-outs. */
 #define FLEET_WRITES_PER_S 50
+
+/* How long a failed write is not repeated: at first, and at the most. */
 #define RETRY_US (500 * WP_US_PER_MS)
-#define RETRY_MOST_US (10 * WP_US_PER_S)
+#define RETRY_MAX_US (10 * WP_US_PER_S)
 
 struct WPBills {
     char *owner;
-    uint64_t incarnation, next_seq, next_number, settled, batch_last;
-    int64_t pause_us, least_pause_us, due_us, retry_us;
+    uint64_t incarnation, next_seq, next_number, settled, batch_last_seq;
+    int64_t interval_us, min_interval_us, due_us, retry_us;
     uint32_t limit;
     GQueue pending; /* of Wp__Bill */
     WPBillBatch batch;
     unsigned batch_count;
-    bool in_flight, careless;
+    bool in_flight, no_retry;
 };
 
 WPBills *wp_bills_new(const char *owner, uint64_t incarnation,
@@ -27,8 +29,8 @@
     WPBills *b = g_new0(WPBills, 1);
     b->owner = g_strdup(owner);
     b->incarnation = incarnation;
-    b->least_pause_us = (int64_t)batch_ms * WP_US_PER_MS;
-    b->pause_us = b->least_pause_us;
+    b->min_interval_us = (int64_t)batch_ms * WP_US_PER_MS;
+    b->interval_us = b->min_interval_us;
     b->retry_us = RETRY_US;
     b->limit = limit;
     g_queue_init(&b->pending);
@@ -57,7 +59,7 @@
     copy->has_seq = 1;
     copy->seq = ++b->next_seq;
     if (g_queue_is_empty(&b->pending) && !b->batch.key)
-        b->due_us = MAX(b->due_us, now.mono_us + b->pause_us);
+        b->due_us = MAX(b->due_us, now.mono_us + b->interval_us);
     g_queue_push_tail(&b->pending, copy);
     return b->next_seq;
 }
@@ -77,28 +79,28 @@
     return b->settled;
 }
 
-void wp_bills_set_careless(WPBills *b)
+void wp_bills_set_no_retry(WPBills *b)
 {
-    b->careless = true;
+    b->no_retry = true;
 }
 
 void wp_bills_set_writers(WPBills *b, unsigned writers)
 {
     int64_t share = (int64_t)writers * WP_US_PER_S / FLEET_WRITES_PER_S;
-    b->pause_us = MAX(b->least_pause_us, share);
+    b->interval_us = MAX(b->min_interval_us, share);
 }
 
 static void make_batch(WPBills *b)
 {
     Wp__BillBatch m = WP__BILL_BATCH__INIT;
-    g_autofree Wp__Bill **bills = g_new0(Wp__Bill *, WP_BILL_BATCH_MOST);
-    while (m.n_bills < WP_BILL_BATCH_MOST && !g_queue_is_empty(&b->pending))
+    g_autofree Wp__Bill **bills = g_new0(Wp__Bill *, WP_BILL_BATCH_MAX);
+    while (m.n_bills < WP_BILL_BATCH_MAX && !g_queue_is_empty(&b->pending))
         bills[m.n_bills++] = g_queue_pop_head(&b->pending);
     m.owner = b->owner;
     m.incarnation = b->incarnation;
     m.number = ++b->next_number;
     m.bills = bills;
-    b->batch_last = bills[m.n_bills - 1]->seq;
+    b->batch_last_seq = bills[m.n_bills - 1]->seq;
     b->batch_count = (unsigned)m.n_bills;
     b->batch.key =
         g_strdup_printf(WP_BILL_PREFIX "%s/%016lx/%08lx", b->owner,
@@ -108,7 +110,7 @@
         wp_pb_free(bills[i]);
 }
 
-const WPBillBatch *wp_bills_due(WPBills *b, WPTime now, bool at_once)
+const WPBillBatch *wp_bills_next_batch(WPBills *b, WPTime now, bool at_once)
 {
     bool due = at_once ? !b->batch.key || now.mono_us >= b->due_us
                        : now.mono_us >= b->due_us;
@@ -123,28 +125,28 @@
     return &b->batch;
 }
 
-void wp_bills_written(WPBills *b, WPTime now, WPBillWrite result,
-                      const uint8_t *found, size_t size)
+void wp_bills_batch_written(WPBills *b, WPTime now, WPBillWriteResult result,
+                            const uint8_t *found, size_t size)
 {
     b->in_flight = false;
     bool same = result == WP_BILL_EXISTS && size == b->batch.value->len &&
                 !memcmp(found, b->batch.value->data, size);
-    if (result == WP_BILL_CREATED || same || b->careless) {
-        b->settled = b->batch_last;
+    if (result == WP_BILL_CREATED || same || b->no_retry) {
+        b->settled = b->batch_last_seq;
         b->batch_count = 0;
         b->retry_us = RETRY_US;
-        b->due_us = now.mono_us + b->pause_us;
+        b->due_us = now.mono_us + b->interval_us;
         clear_batch(b);
         return;
     }
-    /* Another process under this name and incarnation holds the number:
-       take the next one. */
+    /* Another process with this id and incarnation has written a batch of
+       this number: use the next number. */
     if (result == WP_BILL_EXISTS) {
         char *slash = strrchr(b->batch.key, '/');
         snprintf(slash + 1, 9, "%08lx", (unsigned long)++b->next_number);
     }
     b->due_us = now.mono_us + b->retry_us;
-    b->retry_us = MIN(2 * b->retry_us, RETRY_MOST_US);
+    b->retry_us = MIN(2 * b->retry_us, RETRY_MAX_US);
 }
 
 struct WPCharges {
@@ -174,9 +176,11 @@
     g_free(c);
 }
 
-/* Of two bills of one step, the later attempt's, then the whole one, then
-   the larger: an entry that takes over knows less than the agent did. */
-static bool counts_more(const Wp__Bill *a, const Wp__Bill *b)
+/* Whether, of two bills of one step, `a` is charged rather than `b`: that of a
+   complete answer first, then that of the later attempt, then that with more
+   answer tokens. A bill that an entry makes in place of a lost agent comes
+   last, as the entry knows less than the agent did. */
+static bool is_preferred(const Wp__Bill *a, const Wp__Bill *b)
 {
     if (a->whole != b->whole)
         return a->whole;
@@ -199,8 +203,8 @@
             g_hash_table_insert(c->by_key, g_steal_pointer(&key), charge);
         }
         g_free(key);
-        charge->seen++;
-        if (charge->bill && !counts_more(bill, charge->bill))
+        charge->occurrences++;
+        if (charge->bill && !is_preferred(bill, charge->bill))
             continue;
         wp_pb_free(charge->bill);
         charge->bill = wp_pb_copy(&bill->base);
--- a/src/wp_bill.h
+++ b/src/wp_bill.h
@@ -1,59 +1,78 @@
-/* Bills: made where a request ran, kept in memory, written to the store in
- * numbered batches that are created only if absent, and folded by request. */
+/* Bills: a record of each attempt of a request for charging its workspace. A
+ * bill is made by the box where the request ran, kept in memory and written to
+ * the store in numbered batches, each of which is created only if its key is
+ * absent. Charges are formed from the batches by request. */
 #ifndef WP_BILL_H
 #define WP_BILL_H
 
 #include "wire.pb-c.h"
 #include "wp_base.h"
 
-enum { WP_BILL_BATCH_MOST = 4000 };
+enum { WP_BILL_BATCH_MAX = 4000 }; /* bills in a batch */
 #define WP_BILL_PREFIX "/wp/bills/"
 
+/* A box's bills until they are in the store. */
 typedef struct WPBills WPBills;
 
-typedef enum WPBillWrite {
+typedef enum WPBillWriteResult {
     WP_BILL_CREATED, /* the write took effect */
-    WP_BILL_EXISTS,  /* something is there; its bytes are given */
+    WP_BILL_EXISTS,  /* the key holds a value already, which is given */
     WP_BILL_FAILED   /* no answer: it may or may not have taken effect */
-} WPBillWrite;
+} WPBillWriteResult;
 
 typedef struct WPBillBatch {
     char *key;         /* in the store */
-    GByteArray *value; /* a packed BillBatch */
+    GByteArray *value; /* a serialized BillBatch */
 } WPBillBatch;
 
+/* `owner` and `incarnation`: this process, for the batches' keys. `batch_ms`:
+   the shortest interval between batches. `limit`: bills from which on
+   wp_bills_full() is true. */
 WPBills *wp_bills_new(const char *owner, uint64_t incarnation,
                       uint32_t batch_ms, uint32_t limit);
 void wp_bills_free(WPBills *b);
 
-/* Takes a copy and gives it the next number, which is returned. */
+/* Queues a copy of the bill under the next sequence number, which it
+   returns. */
 uint64_t wp_bills_add(WPBills *b, WPTime now, const Wp__Bill *bill);
+
+/* Whether so many bills are pending that no more requests are to be taken. */
 bool wp_bills_full(const WPBills *b);
+
+/* How many bills are not known to be in the store. */
 unsigned wp_bills_pending(const WPBills *b);
-uint64_t wp_bills_settled(const WPBills *b); /* all up to this number */
 
-/* For scenarios: gives a batch up when its answer is lost. */
-void wp_bills_set_careless(WPBills *b);
+/* All bills up to this sequence number are settled, that is in the store. */
+uint64_t wp_bills_settled(const WPBills *b);
 
-/* How many boxes write: the pause between batches grows with them, so that
-   all together stay within the store's rate. */
+/* For scenarios: takes each batch as written after the first try, whatever the
+   store answered. */
+void wp_bills_set_no_retry(WPBills *b);
+
+/* Sets how many boxes write bills. The interval between batches grows with
+   their number, so that all together stay within the store's rate. */
 void wp_bills_set_writers(WPBills *b, unsigned writers);
 
-/* The batch to write now, or NULL: none is due, or one is on its way. The
-   same batch comes again after a failure, byte for byte. */
-const WPBillBatch *wp_bills_due(WPBills *b, WPTime now, bool at_once);
-void wp_bills_written(WPBills *b, WPTime now, WPBillWrite result,
-                      const uint8_t *found, size_t size);
+/* Returns the batch to write now; NULL if none is due or one is being written.
+   After a failure the same batch is returned again, byte for byte. `at_once`: a
+   new batch does not wait for the interval. */
+const WPBillBatch *wp_bills_next_batch(WPBills *b, WPTime now, bool at_once);
+
+/* The write of that batch has ended. `found`: with WP_BILL_EXISTS, the value
+   that the key holds; an equal one is this batch, from an earlier write whose
+   answer was lost. */
+void wp_bills_batch_written(WPBills *b, WPTime now, WPBillWriteResult result,
+                            const uint8_t *found, size_t size);
 
-/* Charges by request id and cascade step: a request that stands in several
-   batches, or was tried again, is charged once. */
+/* Charges by request id and cascade step: a request that has bills in several
+   batches, or had several attempts, is charged once. */
 typedef struct WPCharges WPCharges;
 
 typedef struct WPCharge {
     char request_id[40];
     unsigned step;
-    Wp__Bill *bill; /* the one that counts */
-    unsigned seen;  /* how often it stood in batches */
+    Wp__Bill *bill;       /* the one that is charged */
+    unsigned occurrences; /* bills that were found for it */
 } WPCharge;
 
 WPCharges *wp_charges_new(void);
--- a/src/wp_direct.h
+++ b/src/wp_direct.h
@@ -1,11 +1,11 @@
-/* What an entry knows that calls endpoints directly, and how it decides on
- * one request: which endpoint and model it goes to, and what follows from each
- * answer, failure and time limit. No sockets and no clocks: the caller moves
- * the bytes and hands in the time. */
+/* Direct mode, in which an entry calls endpoints without agents: its state
+ * (WPDirect), and the decisions on one request (WPFlow): which endpoint and
+ * model it goes to, and what follows from each answer, failure and time-out. No
+ * sockets and no clocks: the caller moves the bytes and passes the time. */
 #ifndef WP_DIRECT_H
 #define WP_DIRECT_H
 
-#include "wp_budget.h"
+#include "wp_retry_budget.h"
 #include "wp_cascade.h"
 #include "wp_code.h"
 #include "wp_counters.h"
@@ -19,237 +19,289 @@
 typedef struct WPDirectRules {
     uint64_t box; /* hash of this box's id */
     const char *zone;
-    WPBudgetRules retries;
-    uint32_t session_ms; /* requests of a session follow within this */
+    WPRetryBudgetRules retry_budget;
+    /* the longest time between requests of a session */
+    uint32_t session_idle_ms;
     WPCascadeRules cascade;
     WPFleetRules fleet;
-    double second; /* weight of a second until the first byte, in places for
-                      what engines earn in that time */
+    /* weight of a second until the first byte, in slots for each unit of value
+       that engines produce in that time */
+    double first_byte_weight;
 } WPDirectRules;
 
 typedef struct WPDirect {
     WPDirectRules rules;
-    WPRoutes *routes; /* NULL: none known yet */
+    WPRoutes *routes; /* NULL: none are known yet */
     WPFleet *fleet;
     WPShifts *shifts;
     WPSuspects *suspects;
-    struct WPUsage *usage; /* what is to be reported is counted there; its
-                              maker's, NULL: nothing is */
+    struct WPUsage *usage; /* counts requests for usage reports; not owned,
+                              NULL: none are made */
     WPCounters counters;
-    WPStartup start;
-    unsigned boxes;       /* entries that share the retry budget */
-    GHashTable *budgets;  /* service -> WPBudget */
-    GHashTable *sessions; /* hash -> which version served it, and when */
-    GHashTable *speeds;   /* service or route, and model -> first bytes */
-    GHashTable *usual;    /* service or route, and model -> usual times */
-    GHashTable *quality;  /* route -> how good the smallest model's are */
-    double lag;           /* recent first bytes, as a part of their aim */
-    WPValueRate earned;
-    WPStallModel pauses;
-    int64_t swept_us;
+    WPStartup startup;
+    unsigned boxes; /* entries that share the retry budget, with this one */
+    GHashTable *retry_budgets; /* service -> WPRetryBudget */
+    GHashTable *sessions;      /* hash of the id -> WPSessionRecord */
+    GHashTable
+        *ttfb_models;      /* "SERVICE MODEL" or "ROUTE MODEL" -> WPTtfbModel */
+    GHashTable *quartiles; /* the same -> WPQuartiles */
+    GHashTable *quality;   /* route -> WPGoodShare, of the smallest model */
+    double target_ratio;   /* mean of recent times to first byte, as parts of
+                              their targets */
+    WPValueRate value_rate;
+    WPStallModel stalls;
+    int64_t expired_us; /* when sessions and suspects last expired */
     GRand *rand;
 } WPDirect;
 
+/* `chart` gives the stages of shifts and must outlive `d`; `seed` is of the
+   random choices. */
 void wp_direct_init(WPDirect *d, const WPDirectRules *rules,
                     const Wp__Chart *chart, uint32_t seed);
 void wp_direct_end(WPDirect *d);
 
-/* Takes a table of routes, and the caller's reference, unless a newer one is
-   known: what was once in force never comes back. */
-bool wp_direct_routes(WPDirect *d, WPRoutes *t);
-
-/* Why the other boxes are told of a session. */
-typedef enum WPSessionNews {
-    WP_TELL_BOUND, /* was lately on an old version and is to stay there;
-                         while a move is in its first half */
-    WP_TELL_MOVED, /* on the new one, until the move reaches all */
-    WP_TELL_LEFT   /* was lately on a version that a move has left; what
-                         follows is told in wp_flow_session_bound_ms() */
-} WPSessionNews;
-
-/* Sessions that the other boxes have not been told of. Returns how many were
-   written to `out`; they count as told. */
-size_t wp_direct_tell(WPDirect *d, WPTime now, WPSessionNews what,
-                      uint64_t *out, size_t most);
-void wp_direct_hear(WPDirect *d, WPTime now, WPSessionNews what,
-                    uint64_t session);
-
-/* Forgets sessions and endpoints whose time is over. */
+/* Takes over a table of routes, with the caller's reference. Returns false, and
+   drops it, if its version is not newer than the known one, so that a table
+   which was replaced never comes back into force. */
+bool wp_direct_set_routes(WPDirect *d, WPRoutes *t);
+
+/* What is sent to the other boxes about a session. */
+typedef enum WPSessionUpdate {
+    /* it was lately on the old version and stays there; sent while a shift is
+       in its first half */
+    WP_SESSION_UPDATE_BOUND,
+    WP_SESSION_UPDATE_MOVED, /* it is on the new one; sent until the shift
+                                covers all sessions */
+    /* it was lately on a version that a completed shift has retired; see
+       wp_flow_session_bound_ms() for what follows */
+    WP_SESSION_UPDATE_RETIRED
+} WPSessionUpdate;
+
+/* Writes the hashes of up to `max` sessions of which this has not been sent to
+   the other boxes yet to `out`, and marks them as sent. Returns how many. */
+size_t wp_direct_take_unsent_sessions(WPDirect *d, WPTime now,
+                                      WPSessionUpdate what, uint64_t *out,
+                                      size_t max);
+
+/* Takes in what another box has sent of a session. What this box knows from its
+   own requests prevails. */
+void wp_direct_merge_session(WPDirect *d, WPTime now, WPSessionUpdate what,
+                             uint64_t session);
+
+/* Removes expired sessions, suspects and endpoints; to be called several times
+   a second. */
 void wp_direct_tick(WPDirect *d, WPTime now);
 
-/* A caller's request, decoded. The strings live during wp_flow_begin(). */
-typedef struct WPDirectAsk {
+/* A caller's request, decoded. The strings need only be valid during the call
+   that they are passed to. */
+typedef struct WPDirectRequest {
     WPStr id;
     WPStr host, path;
     WPStr key;     /* empty: none was sent */
-    WPStr session; /* empty: on its own */
+    WPStr session; /* id of its session; empty: none */
     WPStr model;   /* empty: none was named */
     WPPrompt prompt;
     uint32_t body_bytes;
-    uint64_t content;       /* hash of method, target and body */
-    uint32_t answer_tokens; /* as the caller guesses, or the most */
-    uint32_t deadline_ms;   /* how long the caller waits; 0: not told */
-    uint32_t stay_ms;       /* this box ends in so many; 0: it stays */
-    bool resumes;           /* goes on after `after_event` */
+    uint64_t content_hash;  /* hash of method, target and body */
+    uint32_t answer_tokens; /* the caller's estimate, or the maximum that it
+                               allows */
+    uint32_t deadline_ms;   /* how long the caller waits; 0: not known */
+    /* this box stops in so many; 0: it is not draining */
+    uint32_t box_stops_in_ms;
+    bool resumes; /* the caller resumes a stream after `after_event` */
     uint64_t after_event;
-} WPDirectAsk;
-
-typedef enum WPMoveKind {
-    WP_MOVE_SEND, /* to `replica`, which is held until the flow says how it
-                     ended there */
-    WP_MOVE_PASS, /* give the caller the answer that is in hand */
-    WP_MOVE_HOLD, /* no routes are known yet: for `retry_ms` at most, unless
-                     wp_flow_enter() comes before */
-    WP_MOVE_FAIL, /* give the caller an answer of the box's own */
-    WP_MOVE_CUT   /* the caller has part of an answer: break it off */
-} WPMoveKind;
-
-typedef enum WPWhy {
-    WP_WHY_FIRST,
-    WP_WHY_RETRY,  /* the one before failed or refused */
-    WP_WHY_BETTER, /* its answer was not good enough */
-    WP_WHY_RESUME  /* its stream broke off */
-} WPWhy;
-
-typedef struct WPMove {
-    WPMoveKind kind;
+} WPDirectRequest;
+
+/* What is to be done next for a request. */
+typedef enum WPFlowActionKind {
+    WP_FLOW_SEND, /* send it to `replica`, to which the flow holds a reference
+                     until the attempt has ended */
+    WP_FLOW_FORWARD, /* forward the attempt's answer to the caller */
+    WP_FLOW_HOLD, /* no routes are known yet: hold it until wp_flow_admit(), for
+                     `retry_ms` at the most */
+    WP_FLOW_FAIL, /* answer the caller with `code` */
+    WP_FLOW_ABORT /* the caller has part of an answer: abort that */
+} WPFlowActionKind;
+
+/* Why an attempt is made. */
+typedef enum WPAttemptReason {
+    WP_ATTEMPT_FIRST,
+    WP_ATTEMPT_RETRY,    /* the attempt before failed or was refused */
+    WP_ATTEMPT_ESCALATE, /* the answer before was not good enough */
+    WP_ATTEMPT_RESUME    /* the stream before broke off */
+} WPAttemptReason;
+
+typedef struct WPFlowAction {
+    WPFlowActionKind kind;
     WPReplica *replica;
-    WPStr model; /* to name to the endpoint; empty: as it came */
-    WPWhy why;
-    const char *fetch;  /* address of an endpoint that keeps more of the prompt
-                           and from which it is to be taken; NULL: none */
-    uint32_t budget_ms; /* what is left of the caller's time */
-    uint32_t patience_ms; /* to the first byte, then go elsewhere; 0: none */
+    WPStr model; /* to name to the endpoint; empty: as the caller named it */
+    WPAttemptReason reason;
+    /* address of an endpoint with more of the prompt in its prefix cache, from
+       which the replica is to fetch it; NULL: none */
+    const char *prefix_source;
+    uint32_t budget_ms; /* what is left until the deadline */
+    /* how long to wait for the first byte before another endpoint is tried; 0:
+       until the deadline */
+    uint32_t first_byte_timeout_ms;
     WPCode code;
-    uint32_t retry_ms;       /* when to come back; 0: not told */
-    const WPReplica *barred; /* FAIL: the endpoint that would take it first;
-                                valid at once only; NULL: none */
-    WPExclusion bar;         /* what keeps it from there */
-} WPMove;
+    uint32_t retry_ms; /* FAIL: when the caller may try again, 0: none is
+                          suggested; HOLD: see there */
+    /* FAIL: the excluded endpoint that would be free first; valid until the
+       next call only; NULL: none */
+    const WPReplica *excluded;
+    WPExclusion exclusion; /* why that is excluded */
+} WPFlowAction;
 
 /* The head of an endpoint's answer, decoded. */
 typedef struct WPDirectAnswer {
     int status;
-    bool not_run;   /* the endpoint says that it did not run the request */
-    bool wrong;     /* another endpoint has this address */
-    bool genuine;   /* carries the endpoint's mark */
-    int confidence; /* the model's own opinion, 0 to 100; -1: none */
+    bool not_run;        /* the endpoint says that it did not run the request */
+    bool wrong_endpoint; /* the answer is of another endpoint, which has this
+                            address now */
+    bool has_seal;  /* carries the endpoint's seal, so the endpoint itself has
+                       sent it */
+    int confidence; /* the model's own estimate that it is good, 0 to 100; -1:
+                       none */
     bool has_load;
-    uint32_t running, waiting, slots;
-    uint32_t pace; /* how long work takes there now, 100: as usual; 0: untold */
+    uint32_t running, waiting, slots; /* the endpoint's load, if has_load */
+    uint32_t slowdown; /* how long work takes there now, in percent of the usual
+                          time; 0: not reported */
     WPLimitField limit;
-    WPNoticeField leaving;
-    WPNoticeField rest; /* counts of a refusal */
+    WPNoticeField draining;
+    WPNoticeField backoff; /* counts only if the answer is a refusal */
 } WPDirectAnswer;
 
-/* How a leg ended without an answer. */
-typedef enum WPLoss {
-    WP_LOSS_UNSENT, /* nothing of the request has left */
-    WP_LOSS_SILENT, /* it may have run; no answer began */
-    WP_LOSS_BROKEN  /* the answer broke off or was none */
-} WPLoss;
+/* How an attempt was lost, that is ended without a complete answer. */
+typedef enum WPAttemptLoss {
+    WP_LOSS_UNSENT,    /* nothing of the request was sent */
+    WP_LOSS_NO_ANSWER, /* it may have run; no answer has begun */
+    WP_LOSS_BROKEN     /* the answer broke off or was invalid */
+} WPAttemptLoss;
 
-enum { WP_FLOW_TRIED_MOST = 8 };
+enum { WP_FLOW_TRIED_MAX = 8 }; /* endpoints that a flow remembers */
 
 /* One attempt at an endpoint. */
 typedef struct WPAttempt {
-    WPReplica *replica; /* NULL: none is under way */
+    WPReplica *replica; /* NULL: no attempt is under way */
     int64_t sent_us;
-    int64_t first_us;  /* when its first byte came */
-    uint64_t events;   /* of its stream that have come */
-    bool heard;        /* its first byte has come */
-    bool crowded;      /* its endpoint was so full, or so new, that it may be
-                          slow */
-    WPTtfbInputs work; /* before the first byte, as believed when it was sent */
-    double expect_us;  /* what was foretold from that; 0: nothing */
-    double reading_us; /* of its own prompt, of that */
-    double taken;      /* share of its endpoint's places when it was sent */
-    bool loaded;       /* its endpoint was half full */
-    bool judged;       /* counted in the verdict on a move's new version */
-    bool old_version;  /* counts among those of a move's old version */
+    int64_t first_byte_us; /* when its first byte came */
+    uint64_t events;       /* events of its stream that have come */
+    bool first_byte_seen;  /* its first byte has come */
+    bool busy; /* its endpoint was so full, or had started so lately, that it
+                  may be slow */
+    /* what the endpoint has to do before the first byte, as known when the
+       attempt was sent */
+    WPTtfbInputs ttfb_inputs;
+    double expected_ttfb_us; /* time to first byte predicted from that; 0: not
+                                known */
+    double prefill_us;  /* the part of that for the prefill of its own prompt */
+    double utilization; /* share of the endpoint's slots that were taken when it
+                           was sent */
+    bool loaded;        /* that share was WP_FLOW_LOADED_SHARE or more */
+    bool sampled;       /* counted for the check of a shift's new version */
+    bool old_version; /* counted among the attempts on a shift's old version */
 } WPAttempt;
 
+/* One request in direct mode. */
 typedef struct WPFlow {
-    WPDirect *d;
-    WPRoutes *routes; /* the table by which it was admitted */
+    WPDirect *direct;
+    WPRoutes *routes; /* the table in force when it was admitted; a reference */
     const WPRoute *route;
     const WPService *service;
     char *id, *model;
-    const char *workspace;  /* NULL: anonymous */
-    const GPtrArray *areas; /* of its caller; see WPEndpointQuery */
-    int priority;
-    uint64_t session;
-    uint64_t hash; /* of caller, method, host, path and body: the same for each
-                      time that a caller sends it */
+    const char *workspace; /* NULL: anonymous */
+    /* where the caller's requests may be served; see WPEndpointQuery */
+    const GPtrArray *areas;
+    int priority;     /* 0 is the most urgent */
+    uint64_t session; /* hash of its id; 0: none */
+    uint64_t hash; /* of workspace, method, host, path and body: the same each
+                      time that the caller sends the request */
     WPPrompt prompt;
     uint32_t answer_tokens, body_bytes;
-    double draw; /* at random in [0, 1): see wp_fleet_limit_yields() */
-    double unit; /* place of the session (or request) in [0, 1) */
+    double draw;     /* at random in [0, 1); see wp_fleet_limit_yields() */
+    double position; /* wp_direct_session_position() of the session, or of the
+                        request's id */
     int64_t start_us, deadline_us;
-    unsigned step;         /* index of the model in the route's list */
-    unsigned ran, refused; /* legs that may have run; that did not */
-    WPAttempt leg;         /* the one under way */
-    WPReplica *tried[WP_FLOW_TRIED_MOST]; /* each held */
+    unsigned step;         /* index of the present model in the route's list */
+    unsigned attempts_run; /* ended attempts that may have run */
+    unsigned attempts_refused;           /* ended attempts that did not run */
+    WPAttempt attempt;                   /* the one under way */
+    WPReplica *tried[WP_FLOW_TRIED_MAX]; /* endpoints of ended attempts, a
+                                            reference to each */
     size_t n_tried;
-    bool passing;       /* the caller has part of an answer */
-    bool hurried;       /* went elsewhere once for want of patience */
-    bool counted;       /* as usage */
-    bool spent;         /* the budget of repeats let it go nowhere else */
-    unsigned ended;     /* endpoints whose connection ended under it */
-    int64_t event_us;   /* when the caller's last event came; 0: none has */
-    int64_t gap_us;     /* the longest time between two of them */
-    char *fails_loaded; /* a version that this request showed to fail on
-                           half-full endpoints; NULL: none */
+    bool answer_started;       /* the caller has been sent part of an answer */
+    bool first_byte_timed_out; /* it left an endpoint whose first byte was
+                                  overdue; once at the most */
+    bool usage_counted;        /* as usage of its workspace */
+    /* the retry budget has refused it another attempt */
+    bool retry_budget_spent;
+    /* endpoints that count as lost while they ran it */
+    unsigned endpoints_lost;
+    /* when the last event of its stream came; 0: none has */
+    int64_t last_event_us;
+    int64_t max_gap_us; /* the longest time between two events */
+    char *fails_loaded; /* a version that this request has shown to fail under
+                           load, on half-full endpoints; to be reported, NULL:
+                           none */
 } WPFlow;
 
-/* Decides on a new request. The flow is freed with wp_flow_free() after its
-   last move. */
-WPFlow *wp_flow_begin(WPDirect *d, WPTime now, const WPDirectAsk *ask,
-                      WPMove *out);
+/* Makes the flow of a new request and decides on its first action. To be freed
+   with wp_flow_free() after its last action. */
+WPFlow *wp_flow_begin(WPDirect *d, WPTime now, const WPDirectRequest *request,
+                      WPFlowAction *out);
 
-/* The routes are known now: decides on a request that was held. */
-void wp_flow_enter(WPFlow *f, WPTime now, const WPDirectAsk *ask, WPMove *out);
+/* Decides on a request that was held, once the routes are known. */
+void wp_flow_admit(WPFlow *f, WPTime now, const WPDirectRequest *request,
+                   WPFlowAction *out);
 
-/* They are not in time: it is refused. */
-void wp_flow_held_out(WPFlow *f, WPMove *out);
+/* The time for which a request was held is over: refuses it. */
+void wp_flow_hold_timeout(WPFlow *f, WPFlowAction *out);
 
-/* What an answer's head changed of what is believed of its endpoint. */
-typedef struct WPHeard {
-    bool leaves, rests;  /* new */
-    WPLimitChange limit; /* new, or to be reported */
-    double limit_was;    /* requests a second; 0: none */
-    const char *bad;     /* a field to be reported; NULL: none */
-} WPHeard;
+/* What the head of an answer has changed in the known state of its endpoint. */
+typedef struct WPHeadChanges {
+    bool draining; /* it drains now, and did not before */
+    bool backoff;  /* the same of a back-off that it asks for */
+    /* whether its limit has changed, or could not be read */
+    WPLimitChange limit;
+    double previous_limit; /* the limit before, in requests a second; 0: none */
+    const char *bad_field; /* name of a notice that could not be read, to be
+                              logged; NULL: none */
+} WPHeadChanges;
 
-/* The head of any answer of this leg has come: what it says of its endpoint
-   counts from now on, whatever becomes of the answer. */
-void wp_flow_head(WPFlow *f, WPTime now, const WPDirectAnswer *a, WPHeard *out);
+/* The head of any answer to this attempt has come. What it reports of its
+   endpoint counts from now on, whatever becomes of the answer. */
+void wp_flow_on_head(WPFlow *f, WPTime now, const WPDirectAnswer *a,
+                     WPHeadChanges *out);
 
-/* The head of an answer (of a stream that succeeds), or a whole answer; what
-   its head says was taken by wp_flow_head(). */
-void wp_flow_answer(WPFlow *f, WPTime now, const WPDirectAnswer *a,
-                    WPMove *out);
+/* The head of a stream that succeeds, or any other answer completely, has come,
+   after wp_flow_on_head(). Decides whether it is forwarded. */
+void wp_flow_on_answer(WPFlow *f, WPTime now, const WPDirectAnswer *a,
+                       WPFlowAction *out);
 
-/* The leg ended without a whole answer. */
-void wp_flow_lost(WPFlow *f, WPTime now, WPLoss how, WPMove *out);
+/* The attempt ended without a complete answer. */
+void wp_flow_on_lost(WPFlow *f, WPTime now, WPAttemptLoss how,
+                     WPFlowAction *out);
 
-/* The leg's first byte is overdue: returns false to go on waiting. */
-bool wp_flow_impatient(WPFlow *f, WPTime now, WPMove *out);
+/* The attempt's first byte is overdue. Returns false if the caller is to go on
+   waiting for it; else the attempt has ended and `out` is what follows. */
+bool wp_flow_on_first_byte_timeout(WPFlow *f, WPTime now, WPFlowAction *out);
 
-/* The caller's time or the route's is over. */
-void wp_flow_expired(WPFlow *f, WPTime now, WPMove *out);
+/* The deadline of the caller or of the route has passed. */
+void wp_flow_on_deadline(WPFlow *f, WPTime now, WPFlowAction *out);
 
-/* So many events of this leg's stream have come, the last of them now. */
-void wp_flow_progress(WPFlow *f, WPTime now, uint64_t events);
+/* `events` of this attempt's stream have come so far, the last of them now. */
+void wp_flow_on_events(WPFlow *f, WPTime now, uint64_t events);
 
-/* The caller has the whole answer; `events` of a stream came by this leg. */
-void wp_flow_done(WPFlow *f, WPTime now, uint64_t events);
+/* The caller has the complete answer; `events` of a stream came from this
+   attempt. */
+void wp_flow_on_done(WPFlow *f, WPTime now, uint64_t events);
 
-/* The caller has gone. */
-void wp_flow_left(WPFlow *f, WPTime now);
+/* The caller has closed its connection. */
+void wp_flow_on_caller_gone(WPFlow *f, WPTime now);
 
 void wp_flow_free(WPFlow *f);
 
-const char *wp_why_name(WPWhy why);
+/* The reason's name in the log. */
+const char *wp_attempt_reason_name(WPAttemptReason reason);
 
 #endif
--- a/src/wp_direct_int.h
+++ b/src/wp_direct_int.h
@@ -1,44 +1,58 @@
-/* What wp_direct.c and wp_flow.c share. */
+/* Internals of direct mode, shared by wp_direct.c and the parts of the flow. */
 #ifndef WP_DIRECT_INT_H
 #define WP_DIRECT_INT_H
 
 #include "wp_direct.h"
 #include "wp_latency.h"
 
-/* Which version served a session last. */
-typedef struct WPSessionSeen {
-    uint64_t session;
-    const char *version; /* interned; one of WP_VERSION_* when only told of */
-    int64_t used_us;
-    bool own;       /* this box served it */
-    bool told;      /* and has told the others so since */
-    bool told_left; /* the same, of the version's having been left */
-} WPSessionSeen;
-
-/* Stands for whichever version was in use before a move. */
+/* The version that served a session last. */
+typedef struct WPSessionRecord {
+    uint64_t session; /* hash of its id */
+    /* interned; may be a WP_VERSION_* if only another box has reported it */
+    const char *version;
+    int64_t
+        last_used_us;  /* when it was last served, or last reported by a box */
+    bool served_here;  /* this box served it, not only another one */
+    bool sent;         /* the other boxes have been sent that since */
+    bool sent_retired; /* they have been sent that its version is retired */
+} WPSessionRecord;
+
+/* Stands for the version that was in use before the present shift. */
 #define WP_VERSION_OLD "-"
 
-/* The same, before the last move that was done. */
-#define WP_VERSION_LEFT "--"
+/* Stands for the one in use before the last completed shift (retired). */
+#define WP_VERSION_RETIRED "--"
 
-WPBudget *wp_direct_budget(WPDirect *d, const char *service);
-/* `what` is a service, for streams, or a route, for whole answers. */
-WPTtfbModel *wp_direct_speed(WPDirect *d, const char *what, WPStr model);
-WPQuartiles *wp_direct_usual(WPDirect *d, const char *what, WPStr model);
+/* The retry budget of a service. */
+WPRetryBudget *wp_direct_retry_budget(WPDirect *d, const char *service);
+
+/* What was learned of a model's times; `what` is a service, for streams, or a
+   route, for answers that are not streamed. */
+WPTtfbModel *wp_direct_ttfb_model(WPDirect *d, const char *what, WPStr model);
+WPQuartiles *wp_direct_quartiles(WPDirect *d, const char *what, WPStr model);
+
+/* How good the smallest model's answers are on a route. */
 WPGoodShare *wp_direct_quality(WPDirect *d, const char *route);
 
-/* A session's place in [0, 1), the same at every box, and its place in a move:
-   below the stage's share it goes to the new version. */
-double wp_direct_unit(uint64_t session);
-double wp_direct_place(const WPDirect *d, WPTime now, const WPShift *sh,
-                       double unit);
+/* A session's position in [0, 1), the same at every box. */
+double wp_direct_session_position(uint64_t session);
+
+/* Its position in a shift: below the share of the shift's stage the session
+   goes to the new version. `position`: the one above. */
+double wp_direct_shift_position(const WPDirect *d, WPTime now,
+                                const WPShift *sh, double position);
+
+/* The version that the session is bound to, as it was served there lately;
+   NULL: none. */
+const char *wp_direct_session_version(WPDirect *d, WPTime now,
+                                      uint64_t session);
 
-/* The version that served the session within the time it binds, or NULL. */
-const char *wp_direct_session(WPDirect *d, WPTime now, uint64_t session);
+/* For how many ms the session is still bound to it; 0: it is not. */
+uint32_t wp_direct_session_remaining_ms(WPDirect *d, WPTime now,
+                                        uint64_t session);
 
-/* For how much longer it binds; 0: it does not. */
-uint32_t wp_direct_session_left_ms(WPDirect *d, WPTime now, uint64_t session);
-void wp_direct_session_on(WPDirect *d, WPTime now, uint64_t session,
-                          const char *version);
+/* Records that this box serves the session on `version` now. */
+void wp_direct_record_session(WPDirect *d, WPTime now, uint64_t session,
+                              const char *version);
 
 #endif
--- a/src/wp_entry.h
+++ b/src/wp_entry.h
@@ -1,6 +1,6 @@
-/* The entry's decisions for one request after another: version, endpoint,
- * retries, cascade and the final outcome. No I/O: the daemon tells what came
- * back and does what the returned step says. */
+/* An entry that sends requests to agents: its decisions on each request, that
+ * is version, endpoint, retries, cascade and final outcome. No I/O: the daemon
+ * passes in what has happened and carries out the action that is returned. */
 #ifndef WP_ENTRY_H
 #define WP_ENTRY_H
 
@@ -10,128 +10,177 @@
 #include "wp_node.h"
 #include "wp_session.h"
 
-enum { WP_REQUEST_TRIES = 4 };
+enum { WP_REQUEST_ATTEMPTS_MAX = 4 }; /* attempts in a step of the cascade */
 
-/* What a caller asks, as far as deciding needs it. */
-typedef struct WPAsk {
-    const WPWorkspace *workspace; /* of the entry's present policy */
+/* What a caller has sent, as far as decisions need it. */
+typedef struct WPRequestParams {
+    const WPWorkspace *workspace; /* of wp_entry_policy() */
     const WPKind *kind;
-    const char *model;    /* or NULL: any */
-    const char *service;  /* a plain service's name, or NULL */
-    WPLabels *labels;     /* taken over by the request; may be NULL */
-    WPStr session_token;  /* or empty */
-    WPStr session_id;     /* or empty */
-    WPStr once_key;       /* idempotency key, or empty */
-    uint32_t deadline_ms; /* from now; 0: the kind's */
+    const char *model;     /* name of a model, version or kind; NULL: any */
+    const char *service;   /* name of a plain service, or NULL */
+    WPLabels *labels;      /* taken over by the request; may be NULL */
+    WPStr session_token;   /* or empty */
+    WPStr session_id;      /* or empty */
+    WPStr idempotency_key; /* or empty */
+    uint32_t deadline_ms;  /* from now; 0: that of the kind */
     uint32_t prompt_tokens, answer_tokens; /* expected */
-    uint64_t prefix; /* hash of the prompt's beginning; 0: none */
-} WPAsk;
+    uint64_t prefix; /* hash of the beginning of the prompt; 0: none */
+} WPRequestParams;
 
+/* One request at the entry. */
 typedef struct WPRequest {
     char id[40];
-    char *workspace, *kind, *once_key;
+    char *workspace, *kind;
+    char *idempotency_key; /* with the workspace in front; NULL: none */
     char *model, *service, *session_token, *session_id; /* or NULL */
     WPLabels *labels;
-    bool repeatable, strict, sticky;
-    uint64_t once_ms, affinity, start_ms;
+    bool repeatable, strict; /* the kind's */
+    bool sticky;             /* its session has determined the version */
+    uint64_t key_issued_ms; /* when the key was issued, Unix ms; 0: not known */
+    uint64_t affinity;      /* hash of session or prompt prefix; 0: none */
+    uint64_t session_start_ms; /* when its session began, Unix ms; 0: none */
     uint32_t prompt_tokens, answer_tokens;
     int64_t begun_us, deadline_us, sent_us;
-    char *version;  /* chosen */
-    char *escalate; /* stronger one to try when the check fails, or NULL */
-    char *token;    /* for the answer, or NULL */
-    bool moved, explored;
-    bool ask_rating; /* its rating is worth asking for */
-    unsigned leg, step;
+    char *version;            /* the one chosen */
+    char *escalation_version; /* the stronger one to use if the answer's check
+                                 fails, or NULL */
+    char *new_session_token;  /* new session token for the answer, or NULL */
+    bool session_moved;       /* the session could not stay on its version */
+    bool explored;            /* sent to learn the quality of its version */
+    /* the caller is to be asked for a rating of the answer */
+    bool wants_rating;
+    unsigned attempt; /* number of the present attempt, from 1 */
+    unsigned step;    /* of the cascade, from 0 */
     WPEndpoint *endpoint;
-    WPWaitPrediction foretold; /* the present leg's wait */
-    WPEndpoint *tried[WP_REQUEST_TRIES];
+    WPWaitPrediction predicted_wait; /* predicted time until the present
+                                  attempt's first token */
+    WPEndpoint *tried[WP_REQUEST_ATTEMPTS_MAX]; /* in this step */
     unsigned n_tried;
-    bool sent, accepted, answered; /* of the present leg */
-    bool passed_on;                /* the caller has got part of the answer */
-    bool maybe_ran;                /* some leg ran, or may have */
-    bool agent_bills;     /* an agent has made the bill of the last leg */
-    WPVersionSet allowed; /* versions, at the revision the plan was made */
-    WPVersionSet full;    /* versions that had no room for it */
+    bool sent, accepted, answered; /* states of the present attempt */
+    bool answer_started;  /* the caller has been sent part of the answer */
+    bool maybe_ran;       /* some attempt ran, or may have */
+    bool billed_by_agent; /* the agent has made the bill of the last attempt */
+    WPVersionSet
+        allowed; /* versions that may serve it, as of wp_plan_version() */
+    WPVersionSet full_versions; /* versions that had no room for it */
     WPCode last_refusal;
     uint32_t last_retry_ms;
 } WPRequest;
 
-typedef enum WPStepKind {
-    WP_STEP_SEND,  /* send a Start to `endpoint` */
-    WP_STEP_FINAL, /* tell the caller `code` */
-    WP_STEP_CHECK, /* have the answer checked, then wp_entry_checked() */
-    WP_STEP_DONE,  /* the answer is whole */
-    WP_STEP_LATER  /* wp_entry_again() after `retry_after_ms` */
-} WPStepKind;
-
-typedef struct WPStep {
-    WPStepKind kind;
+/* What is to be done next for a request. */
+typedef enum WPEntryActionKind {
+    WP_ENTRY_SEND,       /* send a Start message to the agent of `endpoint` */
+    WP_ENTRY_FAIL,       /* end the request with `code` */
+    WP_ENTRY_CHECK,      /* have the answer checked, then wp_entry_checked() */
+    WP_ENTRY_DONE,       /* the answer is complete */
+    WP_ENTRY_RETRY_LATER /* call wp_entry_retry() after `retry_after_ms` */
+} WPEntryActionKind;
+
+typedef struct WPEntryAction {
+    WPEntryActionKind kind;
     WPCode code;
-    uint32_t retry_after_ms; /* 0: no use in coming back */
+    uint32_t retry_after_ms; /* FAIL: when the caller may try again; 0: no use
+                                in that */
     WPEndpoint *endpoint;
-} WPStep;
+} WPEntryAction;
 
 typedef struct WPEntry WPEntry;
 
-/* `n` outlives the entry. Unknown policy names give an error. */
+/* The node must outlive the entry. Returns NULL, with an error, if the settings
+   name an unknown policy (`balance`, `choose`). */
 WPEntry *wp_entry_new(WPNode *n, const Wp__EntrySettings *s, uint32_t seed,
                       GError **error);
 void wp_entry_free(WPEntry *e);
 
-/* Takes in a new configuration, table of boxes or ratings. */
+/* Takes over the node's configuration, table of boxes and ratings; to be called
+   after each change of these. */
 void wp_entry_refresh(WPEntry *e, WPTime now);
 WPPolicy *wp_entry_policy(WPEntry *e);
 WPBills *wp_entry_bills(WPEntry *e);
+
+/* The quality bounds, as of wp_quality_table(). */
 const WPBound *wp_entry_bounds(const WPEntry *e);
 
-/* Makes a request and its first step. The request is always returned; free
-   it with wp_request_free() after its final step. */
-WPRequest *wp_entry_begin(WPEntry *e, WPTime now, const WPAsk *ask,
-                          WPStep *step);
+/* Makes a request and decides on its first action. The request is always
+   returned; free it with wp_request_free() after its last action. */
+WPRequest *wp_entry_begin(WPEntry *e, WPTime now, const WPRequestParams *params,
+                          WPEntryAction *action);
 void wp_request_free(WPRequest *r);
 
-WPStep wp_entry_refused(WPEntry *e, WPTime now, WPRequest *r, WPCode code,
-                        WPRan ran, uint32_t retry_ms);
+/* What has happened to the present attempt. Each function returns the next
+   action, where there is one.
+
+   The agent has refused it; `ran` and `retry_ms` are from its Refuse
+   message. */
+WPEntryAction wp_entry_refused(WPEntry *e, WPTime now, WPRequest *r,
+                               WPCode code, WPRan ran, uint32_t retry_ms);
+
+/* The agent has given it a slot. */
 void wp_entry_accepted(WPEntry *e, WPTime now, WPRequest *r);
+
+/* The first bytes of the answer have come. */
 void wp_entry_first_bytes(WPEntry *e, WPTime now, WPRequest *r);
-WPStep wp_entry_ended(WPEntry *e, WPTime now, WPRequest *r, const Wp__End *end);
-WPStep wp_entry_checked(WPEntry *e, WPTime now, WPRequest *r, bool good);
 
-/* The time of a WP_STEP_LATER has come. */
-WPStep wp_entry_again(WPEntry *e, WPTime now, WPRequest *r);
+/* It has ended at the agent, which has made a bill. */
+WPEntryAction wp_entry_ended(WPEntry *e, WPTime now, WPRequest *r,
+                             const Wp__End *end);
+
+/* The check of the answer that WP_ENTRY_CHECK asked for has ended; `good`: the
+   answer passed. */
+WPEntryAction wp_entry_checked(WPEntry *e, WPTime now, WPRequest *r, bool good);
+
+/* The time of a WP_ENTRY_RETRY_LATER has come. */
+WPEntryAction wp_entry_retry(WPEntry *e, WPTime now, WPRequest *r);
+
+/* The link to the agent was lost; `sent`: some byte of the Start message had
+   been handed to the network. */
+WPEntryAction wp_entry_link_lost(WPEntry *e, WPTime now, WPRequest *r,
+                                 bool sent);
 
-/* Contact with the agent was lost; `sent` tells whether any byte of the
-   Start had been handed to the network. */
-WPStep wp_entry_lost(WPEntry *e, WPTime now, WPRequest *r, bool sent);
-WPStep wp_entry_expired(WPEntry *e, WPTime now, WPRequest *r);
+/* The request's deadline has passed. */
+WPEntryAction wp_entry_deadline_passed(WPEntry *e, WPTime now, WPRequest *r);
 
-/* The caller has gone; the agent is to be told to cancel. */
+/* The caller has closed its connection. The daemon sends the agent a Cancel
+   message. */
 void wp_entry_caller_gone(WPEntry *e, WPTime now, WPRequest *r);
 
+/* The endpoint of the agent with this id, or NULL. */
 WPEndpoint *wp_entry_endpoint(WPEntry *e, const char *id);
-unsigned wp_entry_endpoints(const WPEntry *e);
+unsigned wp_entry_endpoint_count(const WPEntry *e);
 void wp_entry_each_endpoint(WPEntry *e, void (*fn)(void *, WPEndpoint *),
                             void *arg);
 
-/* Up to `most` endpoints of the version whose load should be asked for. */
-unsigned wp_entry_probes(WPEntry *e, WPTime now, const WPRequest *r,
-                         WPEndpoint **out, unsigned most);
-
-/* Settled word of an agent, and agents that are gone. */
-void wp_entry_settled(WPEntry *e, const char *agent, uint64_t incarnation,
-                      uint64_t upto);
-void wp_entry_take_over(WPEntry *e, WPTime now);
-
-/* Hands what another entry does not yet know of unsettled bills to `fn`, with
-   that entry's address, so that they outlive this entry and the agent. */
-typedef void (*WPWitnessFn)(void *arg, const char *addr, Wp__Witness *w);
-void wp_entry_tell_witness(WPEntry *e, WPTime now, WPWitnessFn fn, void *arg);
-/* The link to this address has ended: what was on its way may be lost. */
-void wp_entry_witness_lost(WPEntry *e, const char *addr);
-void wp_entry_witnessed(WPEntry *e, WPTime now, const Wp__Witness *w);
-
-/* Lines that explain what would be chosen; free with
-   g_ptr_array_unref(). */
-GPtrArray *wp_entry_why(WPEntry *e, WPTime now, const WPAsk *ask);
+/* Writes up to `max` endpoints of the request's version whose load should be
+   asked for to `out`; returns how many. */
+unsigned wp_entry_probe_targets(WPEntry *e, WPTime now, const WPRequest *r,
+                                WPEndpoint **out, unsigned max);
+
+/* The agent has reported that its bills up to `upto` are settled: drops the
+   copies. */
+void wp_entry_bills_settled(WPEntry *e, const char *agent, uint64_t incarnation,
+                            uint64_t upto);
+
+/* Writes the bills of agents, and of entries that this one is the backup of,
+   that are gone. */
+void wp_entry_take_over_bills(WPEntry *e, WPTime now);
+
+/* Calls `fn` with a message for the backup entry and its address (HOST:PORT),
+   if there is anything to send: copies of bills that are not settled, so that
+   they survive the loss of both this entry and the agent, and which are settled
+   since. `w` is valid during the call. */
+typedef void (*WPBackupFn)(void *arg, const char *addr, Wp__Witness *w);
+void wp_entry_send_backup(WPEntry *e, WPTime now, WPBackupFn fn, void *arg);
+
+/* The link to this address has ended. If it is the backup entry's, messages may
+   have been lost, and all is sent again. */
+void wp_entry_backup_link_lost(WPEntry *e, const char *addr);
+
+/* Takes in such a message: this entry is the backup of its sender. */
+void wp_entry_receive_backup(WPEntry *e, WPTime now, const Wp__Witness *w);
+
+/* Returns lines (char *) that explain what would be chosen for a request, and
+   why; free with g_ptr_array_unref(). */
+GPtrArray *wp_entry_explain(WPEntry *e, WPTime now,
+                            const WPRequestParams *params);
 
 #endif
--- a/src/wp_flow.c
+++ b/src/wp_flow.c
@@ -32,70 +32,77 @@
     BACKOFF_SPREAD_MS = 500
 };
 
-static WPMove fail_action(WPCode code, uint32_t retry_ms)
+static WPFlowAction fail_action(WPCode code, uint32_t retry_ms)
 {
-    return (WPMove){ .kind = WP_MOVE_FAIL, .code = code, .retry_ms = retry_ms };
+    return (WPFlowAction){ .kind = WP_FLOW_FAIL,
+                           .code = code,
+                           .retry_ms = retry_ms };
 }
 
 /* Counts the request, at its first attempt, and the attempt's prefill for the
    value per second of prefill. */
-static void record_value(WPFlow *f, WPWhy why)
+static void record_value(WPFlow *f, WPAttemptReason why)
 {
-    WPDirect *d = f->d;
-    if (why == WP_WHY_FIRST)
-        wp_value_rate_add_request(&d->earned, &d->rules.cascade,
+    WPDirect *d = f->direct;
+    if (why == WP_ATTEMPT_FIRST)
+        wp_value_rate_add_request(&d->value_rate, &d->rules.cascade,
                                   f->prompt.tokens, f->answer_tokens);
-    wp_value_rate_add_prefill(&d->earned, f->leg.reading_us / WP_US_PER_S);
+    wp_value_rate_add_prefill(&d->value_rate,
+                              f->attempt.prefill_us / WP_US_PER_S);
 }
 
 /* Predicts the TTFB of the attempt at `s` and counts the request as sent there.
    Returns the address of the endpoint from which `s` is to copy the cached
    beginning of the prompt, or NULL. */
 static const char *predict_and_send(WPFlow *f, WPTime now, WPReplica *s,
-                                    WPWhy why)
+                                    WPAttemptReason why)
 {
     const WPEndpointQuery w = wp_flow_query(f);
     const WPReplica *source;
-    f->leg.work = wp_fleet_ttfb_inputs(f->d->fleet, now, &w, s, &source);
-    f->leg.expect_us = wp_ttfb_predict(w.ttfb, &f->leg.work);
-    f->leg.reading_us = wp_ttfb_predict_prefill(w.ttfb, &f->leg.work);
-    if (w.prompt && f->leg.expect_us > 0)
+    f->attempt.ttfb_inputs =
+        wp_fleet_ttfb_inputs(f->direct->fleet, now, &w, s, &source);
+    f->attempt.expected_ttfb_us =
+        wp_ttfb_predict(w.ttfb, &f->attempt.ttfb_inputs);
+    f->attempt.prefill_us =
+        wp_ttfb_predict_prefill(w.ttfb, &f->attempt.ttfb_inputs);
+    if (w.prompt && f->attempt.expected_ttfb_us > 0)
         record_value(f, why);
-    wp_fleet_request_sent(f->d->fleet, s, now, &w, f->leg.reading_us);
+    wp_fleet_request_sent(f->direct->fleet, s, now, &w, f->attempt.prefill_us);
     return source ? source->addr : NULL;
 }
 
 /* Begins an attempt at `s`, whose reference it takes over. */
-static void begin_attempt(WPFlow *f, WPTime now, WPReplica *s, WPWhy why,
-                          WPMove *out)
+static void begin_attempt(WPFlow *f, WPTime now, WPReplica *s,
+                          WPAttemptReason why, WPFlowAction *out)
 {
     WPShift *sh = wp_flow_shift(f);
     bool old = sh && strcmp(s->version, sh->version);
     double utilization = wp_fleet_utilization(s, now);
     bool cold = s->reported.cold_until_us > now.mono_us;
-    f->leg = (WPAttempt){ .replica = s,
-                          .sent_us = now.mono_us,
-                          .crowded =
-                              wp_flow_endpoint_is_busy(f, utilization) || cold,
-                          .loaded = utilization >= WP_FLOW_LOADED_SHARE,
-                          .taken = utilization,
-                          .old_version = old };
+    f->attempt =
+        (WPAttempt){ .replica = s,
+                     .sent_us = now.mono_us,
+                     .busy = wp_flow_endpoint_is_busy(f, utilization) || cold,
+                     .loaded = utilization >= WP_FLOW_LOADED_SHARE,
+                     .utilization = utilization,
+                     .old_version = old };
     if (old)
         sh->old_running++;
-    wp_suspects_attempt_started(f->d->suspects, now, f->hash);
+    wp_suspects_attempt_started(f->direct->suspects, now, f->hash);
     /* From now on the session is on this version, also for its requests that
        arrive before this one is answered. */
     if (f->session)
-        wp_direct_session_on(f->d, now, f->session, s->version);
+        wp_direct_record_session(f->direct, now, f->session, s->version);
     const char *fetch = predict_and_send(f, now, s, why);
-    *out =
-        (WPMove){ .kind = WP_MOVE_SEND,
-                  .replica = s,
-                  .model = wp_flow_model(f),
-                  .why = why,
-                  .fetch = fetch,
-                  .budget_ms = (uint32_t)MAX(wp_flow_remaining_ms(f, now), 1),
-                  .patience_ms = wp_flow_first_byte_timeout_ms(f) };
+    *out = (WPFlowAction){ .kind = WP_FLOW_SEND,
+                           .replica = s,
+                           .model = wp_flow_model(f),
+                           .reason = why,
+                           .prefix_source = fetch,
+                           .budget_ms =
+                               (uint32_t)MAX(wp_flow_remaining_ms(f, now), 1),
+                           .first_byte_timeout_ms =
+                               wp_flow_first_byte_timeout_ms(f) };
 }
 
 /* Ends an attempt and drops its reference to the endpoint. */
@@ -106,7 +113,7 @@
     wp_flow_learn_load_failures(f, now, attempt, how);
     if (attempt->old_version && sh && sh->old_running)
         sh->old_running--;
-    wp_suspects_attempt_ended(f->d->suspects, f->hash);
+    wp_suspects_attempt_ended(f->direct->suspects, f->hash);
     wp_fleet_request_ended(attempt->replica, now, how);
     wp_replica_unref(attempt->replica);
 }
@@ -115,43 +122,45 @@
    while there are others. */
 static void end_present_attempt(WPFlow *f, WPTime now, WPAttemptOutcome how)
 {
-    WPAttempt attempt = f->leg;
+    WPAttempt attempt = f->attempt;
     if (!attempt.replica)
         return;
-    if (f->n_tried < WP_FLOW_TRIED_MOST)
+    if (f->n_tried < WP_FLOW_TRIED_MAX)
         f->tried[f->n_tried++] = wp_replica_ref(attempt.replica);
-    f->leg = (WPAttempt){ 0 };
+    f->attempt = (WPAttempt){ 0 };
     end_attempt(f, now, &attempt, how);
 }
 
 /* Begins another attempt if the request, the route and the retry budget allow
    it. Returns false when they do not, or when there is no endpoint. */
-static bool try_again(WPFlow *f, WPTime now, WPWhy why, WPMove *out)
+static bool try_again(WPFlow *f, WPTime now, WPAttemptReason why,
+                      WPFlowAction *out)
 {
-    WPDirect *d = f->d;
-    bool exhausted =
-        f->ran >= f->route->max_attempts || f->refused >= REFUSALS_MAX;
+    WPDirect *d = f->direct;
+    bool exhausted = f->attempts_run >= f->route->max_attempts ||
+                     f->attempts_refused >= REFUSALS_MAX;
     if (exhausted || wp_flow_remaining_ms(f, now) <= 0 ||
         !wp_suspects_may_retry(d->suspects, now, f->hash))
         return false;
     WPReplica *s = wp_flow_choose_endpoint(f, now);
     if (!s)
         return false;
-    WPRepeatFor needed =
-        why == WP_WHY_BETTER ? WP_REPEAT_BETTER : WP_REPEAT_FAILURE;
-    if (!wp_budget_take(wp_direct_budget(d, f->service->name),
-                        &d->rules.retries, now, d->boxes, needed)) {
+    WPRetryPurpose needed = why == WP_ATTEMPT_ESCALATE ? WP_RETRY_FOR_ESCALATION
+                                                       : WP_RETRY_FOR_FAILURE;
+    if (!wp_retry_budget_take(wp_direct_retry_budget(d, f->service->name),
+                              &d->rules.retry_budget, now, d->boxes, needed)) {
         wp_replica_unref(s);
-        f->spent = true;
+        f->retry_budget_spent = true;
         return false;
     }
     wp_count(&d->counters,
-             why == WP_WHY_BETTER ? WP_C_ESCALATIONS : WP_C_RETRIES);
+             why == WP_ATTEMPT_ESCALATE ? WP_C_ESCALATIONS : WP_C_RETRIES);
     begin_attempt(f, now, s, why, out);
     return true;
 }
 
-static WPCode check_caller(const WPDirect *d, WPFlow *f, const WPDirectAsk *ask)
+static WPCode check_caller(const WPDirect *d, WPFlow *f,
+                           const WPDirectRequest *ask)
 {
     const WPCaller *c;
     f->priority = f->route->priority;
@@ -167,9 +176,9 @@
     return WP_OK;
 }
 
-static WPCode admit(WPFlow *f, const WPDirectAsk *ask)
+static WPCode admit(WPFlow *f, const WPDirectRequest *ask)
 {
-    WPDirect *d = f->d;
+    WPDirect *d = f->direct;
     if (!d->routes)
         return WP_NOT_READY;
     f->routes = wp_routes_ref(d->routes);
@@ -184,7 +193,7 @@
     return f->service ? WP_OK : WP_NO_ENDPOINT;
 }
 
-static void set_times(WPFlow *f, const WPDirectAsk *ask)
+static void set_times(WPFlow *f, const WPDirectRequest *ask)
 {
     uint32_t route_ms = f->route->timeout_ms;
     uint32_t ms = ask->deadline_ms;
@@ -192,8 +201,8 @@
         ms = route_ms;
     /* At a box that is draining the deadline lies before its end: what is not
        done by then gets an error response, not a broken connection. */
-    if (ask->stay_ms && (!ms || ask->stay_ms < ms))
-        ms = ask->stay_ms;
+    if (ask->box_stops_in_ms && (!ms || ask->box_stops_in_ms < ms))
+        ms = ask->box_stops_in_ms;
     f->deadline_us =
         ms ? f->start_us + (int64_t)ms * WP_US_PER_MS : INT64_MAX / 2;
 }
@@ -208,29 +217,30 @@
 static uint32_t backoff_retry_ms(const WPFlow *f, WPTime now,
                                  const WPExcludedEndpoints *backoff)
 {
-    double spread_ms = g_rand_double(f->d->rand) * BACKOFF_SPREAD_MS;
+    double spread_ms = g_rand_double(f->direct->rand) * BACKOFF_SPREAD_MS;
     return ms_until(now, backoff->next_send_us) + (uint32_t)spread_ms;
 }
 
-static WPMove fail_excluded(WPCode code, uint32_t retry_ms,
-                            const WPExcludedEndpoints *by, WPExclusion bar)
+static WPFlowAction fail_excluded(WPCode code, uint32_t retry_ms,
+                                  const WPExcludedEndpoints *by,
+                                  WPExclusion bar)
 {
-    WPMove m = fail_action(code, retry_ms);
-    m.barred = by->endpoint;
-    m.bar = bar;
+    WPFlowAction m = fail_action(code, retry_ms);
+    m.excluded = by->endpoint;
+    m.exclusion = bar;
     return m;
 }
 
 /* Fails the request if temporary exclusions alone keep it from some endpoints:
    for a back-off if that ends first, else for a rate limit, else for a cold
    start. Returns false when there is no such endpoint. */
-static bool fail_temporarily_excluded(WPFlow *f, WPTime now, WPMove *out)
+static bool fail_temporarily_excluded(WPFlow *f, WPTime now, WPFlowAction *out)
 {
     const WPEndpointQuery w = wp_flow_query(f);
     /* Endpoints already tried may have asked for a back-off just now. */
     WPEndpointQuery with_tried = w;
     with_tried.n_tried = 0;
-    WPFleet *fleet = f->d->fleet;
+    WPFleet *fleet = f->direct->fleet;
     WPExcludedEndpoints limit, cold, backoff;
     bool is_limited =
         wp_fleet_find_excluded(fleet, now, &w, WP_EXCLUDED_LIMIT, &limit);
@@ -254,16 +264,16 @@
 
 /* The failure of a request that no endpoint takes at present: the reason, and
    when the caller should retry. */
-static WPMove fail_no_endpoint(WPFlow *f, WPTime now)
+static WPFlowAction fail_no_endpoint(WPFlow *f, WPTime now)
 {
-    WPMove m;
-    if (!f->spent && fail_temporarily_excluded(f, now, &m))
+    WPFlowAction m;
+    if (!f->retry_budget_spent && fail_temporarily_excluded(f, now, &m))
         return m;
     const WPEndpointQuery w = wp_flow_query(f);
-    if (wp_fleet_all_outside_areas(f->d->fleet, &w))
+    if (wp_fleet_all_outside_areas(f->direct->fleet, &w))
         return fail_action(WP_NO_AREA, NO_AREA_MS);
     bool is_evacuated =
-        wp_fleet_has_evacuated_endpoints(f->d->fleet, f->service->name);
+        wp_fleet_has_evacuated_endpoints(f->direct->fleet, f->service->name);
     return fail_action(WP_NO_ENDPOINT,
                        is_evacuated ? EVACUATED_MS : NO_ENDPOINT_MS);
 }
@@ -271,12 +281,12 @@
 /* Begins the first attempt, at `s`, unless the request may crash endpoints and
    is not admitted now. Drops the reference to `s` if it is not used. */
 static void begin_first_attempt(WPFlow *f, WPTime now, WPReplica *s,
-                                WPMove *out)
+                                WPFlowAction *out)
 {
-    switch (wp_suspects_admit(f->d->suspects, now, f->hash,
+    switch (wp_suspects_admit(f->direct->suspects, now, f->hash,
                               wp_flow_version_hash(s))) {
     case WP_SUSPECT_ADMITTED:
-        begin_attempt(f, now, s, WP_WHY_FIRST, out);
+        begin_attempt(f, now, s, WP_ATTEMPT_FIRST, out);
         return;
     case WP_SUSPECT_IN_FLIGHT:
         *out = fail_action(WP_IN_DOUBT, SUSPECT_BUSY_MS);
@@ -293,17 +303,17 @@
 static uint32_t retry_ms_of(const WPDirect *d, WPCode code)
 {
     if (code == WP_NOT_READY)
-        return d->start.store_unavailable ? STORE_DOWN_MS : STARTING_MS;
+        return d->startup.store_unavailable ? STORE_DOWN_MS : STARTING_MS;
     return code == WP_NO_ENDPOINT ? NO_ENDPOINT_MS : 0;
 }
 
 /* Sends a request whose route and caller are known to its first endpoint, or
    fails it. */
-static void send_first(WPFlow *f, WPTime now, WPMove *out)
+static void send_first(WPFlow *f, WPTime now, WPFlowAction *out)
 {
-    WPDirect *d = f->d;
-    wp_budget_request(wp_direct_budget(d, f->service->name), &d->rules.retries,
-                      now);
+    WPDirect *d = f->direct;
+    wp_retry_budget_count_request(wp_direct_retry_budget(d, f->service->name),
+                                  &d->rules.retry_budget, now);
     wp_fleet_count_request(d->fleet, now, f->service->name);
     f->draw = g_rand_double(d->rand);
     if (wp_flow_starts_with_largest(f, now))
@@ -315,9 +325,10 @@
         *out = fail_no_endpoint(f, now);
 }
 
-void wp_flow_enter(WPFlow *f, WPTime now, const WPDirectAsk *ask, WPMove *out)
+void wp_flow_admit(WPFlow *f, WPTime now, const WPDirectRequest *ask,
+                   WPFlowAction *out)
 {
-    WPDirect *d = f->d;
+    WPDirect *d = f->direct;
     WPCode code = admit(f, ask);
     if (code != WP_OK) {
         *out = fail_action(code, retry_ms_of(d, code));
@@ -325,7 +336,8 @@
     }
     f->hash = wp_flow_request_hash(f, ask);
     set_times(f, ask);
-    if (ask->stay_ms && !wp_flow_can_finish_within(f, ask->stay_ms)) {
+    if (ask->box_stops_in_ms &&
+        !wp_flow_can_finish_within(f, ask->box_stops_in_ms)) {
         *out = fail_action(WP_LEAVING, DRAINING_MS);
         return;
     }
@@ -336,11 +348,11 @@
         send_first(f, now, out);
 }
 
-WPFlow *wp_flow_begin(WPDirect *d, WPTime now, const WPDirectAsk *ask,
-                      WPMove *out)
+WPFlow *wp_flow_begin(WPDirect *d, WPTime now, const WPDirectRequest *ask,
+                      WPFlowAction *out)
 {
     WPFlow *f = g_new0(WPFlow, 1);
-    f->d = d;
+    f->direct = d;
     f->id = g_strndup(ask->id.p, ask->id.n);
     f->model = g_strndup(ask->model.p, ask->model.n);
     f->start_us = now.mono_us;
@@ -349,172 +361,179 @@
     f->answer_tokens = ask->answer_tokens;
     f->body_bytes = ask->body_bytes;
     f->session = ask->session.n ? wp_hash(ask->session, 0) : 0;
-    f->unit = wp_direct_unit(f->session ? f->session : wp_hash(ask->id, 0));
+    f->position = wp_direct_session_position(f->session ? f->session
+                                                        : wp_hash(ask->id, 0));
     wp_count(&d->counters, WP_C_REQUESTS);
     uint32_t hold_ms =
-        d->routes ? 0 : wp_startup_hold_ms(&d->start, now, ask->deadline_ms);
+        d->routes ? 0 : wp_startup_hold_ms(&d->startup, now, ask->deadline_ms);
     if (hold_ms)
-        *out = (WPMove){ .kind = WP_MOVE_HOLD, .retry_ms = hold_ms };
+        *out = (WPFlowAction){ .kind = WP_FLOW_HOLD, .retry_ms = hold_ms };
     else
-        wp_flow_enter(f, now, ask, out);
+        wp_flow_admit(f, now, ask, out);
     return f;
 }
 
-void wp_flow_held_out(WPFlow *f, WPMove *out)
+void wp_flow_hold_timeout(WPFlow *f, WPFlowAction *out)
 {
-    *out = fail_action(WP_NOT_READY, retry_ms_of(f->d, WP_NOT_READY));
+    *out = fail_action(WP_NOT_READY, retry_ms_of(f->direct, WP_NOT_READY));
 }
 
 /* Ends the request with an error response, or, when the caller has part of an
    answer, by aborting that. */
-static void give_up(WPFlow *f, WPCode code, uint32_t retry_ms, WPMove *out)
+static void give_up(WPFlow *f, WPCode code, uint32_t retry_ms,
+                    WPFlowAction *out)
 {
-    if (f->passing)
-        *out = (WPMove){ .kind = WP_MOVE_CUT, .code = code };
+    if (f->answer_started)
+        *out = (WPFlowAction){ .kind = WP_FLOW_ABORT, .code = code };
     else
         *out = fail_action(code, retry_ms);
 }
 
 /* Ends a request that no endpoint has run, with reason and retry time. */
-static void give_up_not_run(WPFlow *f, WPTime now, WPMove *out)
+static void give_up_not_run(WPFlow *f, WPTime now, WPFlowAction *out)
 {
-    const WPMove m = fail_no_endpoint(f, now);
+    const WPFlowAction m = fail_no_endpoint(f, now);
     give_up(f, m.code, m.retry_ms, out);
-    out->barred = m.barred;
-    out->bar = m.bar;
+    out->excluded = m.excluded;
+    out->exclusion = m.exclusion;
 }
 
 /* The endpoint did not run the request. The caller is told that it was not run
    only if no earlier attempt may have run it. */
 static void after_refusal(WPFlow *f, WPTime now, WPAttemptOutcome how,
-                          WPMove *out)
+                          WPFlowAction *out)
 {
-    f->refused++;
+    f->attempts_refused++;
     end_present_attempt(f, now, how);
-    if (try_again(f, now, WP_WHY_RETRY, out))
+    if (try_again(f, now, WP_ATTEMPT_RETRY, out))
         return;
-    if (f->ran)
+    if (f->attempts_run)
         give_up(f, WP_ENDPOINT_FAILED, 0, out);
     else
         give_up_not_run(f, now, out);
 }
 
-static void pass_answer(WPFlow *f, WPMove *out)
+static void pass_answer(WPFlow *f, WPFlowAction *out)
 {
-    f->passing = true;
-    *out = (WPMove){ .kind = WP_MOVE_PASS };
+    f->answer_started = true;
+    *out = (WPFlowAction){ .kind = WP_FLOW_FORWARD };
 }
 
 /* Asks the largest model for a better answer. If that attempt cannot begin, the
    caller gets the answer in hand. */
-static void try_escalation(WPFlow *f, WPTime now, WPMove *out)
+static void try_escalation(WPFlow *f, WPTime now, WPFlowAction *out)
 {
     WPAttempt previous;
     unsigned step = f->step;
     wp_flow_sample_shift(f, false, WP_TIME_UNKNOWN);
-    previous = f->leg;
+    previous = f->attempt;
     f->step = f->route->models->len - 1;
-    f->ran++;
-    if (try_again(f, now, WP_WHY_BETTER, out)) {
+    f->attempts_run++;
+    if (try_again(f, now, WP_ATTEMPT_ESCALATE, out)) {
         end_attempt(f, now, &previous, WP_OUTCOME_OK);
         return;
     }
-    f->ran--;
+    f->attempts_run--;
     f->step = step;
     pass_answer(f, out);
 }
 
 static WPAttemptOutcome refusal_outcome(const WPDirectAnswer *a)
 {
-    if (a->wrong)
+    if (a->wrong_endpoint)
         return WP_OUTCOME_WRONG_ENDPOINT;
     return wp_flow_requests_backoff(a) ? WP_OUTCOME_BACKOFF
                                        : WP_OUTCOME_REFUSED;
 }
 
-void wp_flow_answer(WPFlow *f, WPTime now, const WPDirectAnswer *a, WPMove *out)
+void wp_flow_on_answer(WPFlow *f, WPTime now, const WPDirectAnswer *a,
+                       WPFlowAction *out)
 {
-    if (a->wrong || a->not_run) {
+    if (a->wrong_endpoint || a->not_run) {
         after_refusal(f, now, refusal_outcome(a), out);
         return;
     }
     bool failed = a->status >= 500;
-    if (!a->genuine && a->status < 300) {
-        wp_flow_lost(f, now, WP_LOSS_BROKEN, out);
+    if (!a->has_seal && a->status < 300) {
+        wp_flow_on_lost(f, now, WP_LOSS_BROKEN, out);
         return;
     }
     wp_flow_record_first_byte(f, now);
     if (failed || f->route->retry_policy != WP_RETRY_STREAM)
-        wp_flow_sample_shift(f, failed,
-                             failed
-                                 ? WP_TIME_UNKNOWN
-                                 : wp_flow_classify_time(
-                                       f, f->route->name,
-                                       (double)(now.mono_us - f->leg.sent_us)));
+        wp_flow_sample_shift(
+            f, failed,
+            failed ? WP_TIME_UNKNOWN
+                   : wp_flow_classify_time(
+                         f, f->route->name,
+                         (double)(now.mono_us - f->attempt.sent_us)));
     if (failed) {
-        f->ran++;
+        f->attempts_run++;
         end_present_attempt(f, now, WP_OUTCOME_FAILED);
-        if (wp_flow_is_retryable(f) && try_again(f, now, WP_WHY_RETRY, out))
+        if (wp_flow_is_retryable(f) && try_again(f, now, WP_ATTEMPT_RETRY, out))
             return;
         /* A 503 would tell the caller that the request was not run, which is
            unknown without the mark of a refusal. */
-        if (f->passing || !a->genuine || a->status == 503)
+        if (f->answer_started || !a->has_seal || a->status == 503)
             give_up(f, WP_ENDPOINT_FAILED, 0, out);
         else
-            *out = (WPMove){ .kind = WP_MOVE_PASS };
+            *out = (WPFlowAction){ .kind = WP_FLOW_FORWARD };
         return;
     }
-    if (f->passing) /* a stream that was resumed at another endpoint */
-        *out = (WPMove){ .kind = WP_MOVE_PASS };
+    if (f->answer_started) /* a stream that was resumed at another endpoint */
+        *out = (WPFlowAction){ .kind = WP_FLOW_FORWARD };
     else if (wp_flow_should_escalate(f, now, a))
         try_escalation(f, now, out);
     else
         pass_answer(f, out);
 }
 
-void wp_flow_lost(WPFlow *f, WPTime now, WPLoss how, WPMove *out)
+void wp_flow_on_lost(WPFlow *f, WPTime now, WPAttemptLoss how,
+                     WPFlowAction *out)
 {
     if (how == WP_LOSS_UNSENT) {
         after_refusal(f, now, WP_OUTCOME_NO_RESPONSE, out);
         return;
     }
-    f->ran++;
+    f->attempts_run++;
     WPAttemptOutcome served = wp_flow_loss_outcome(f, how);
     wp_flow_record_crash(f, now);
     end_present_attempt(f, now, served);
-    WPWhy why = f->passing ? WP_WHY_RESUME : WP_WHY_RETRY;
+    WPAttemptReason why =
+        f->answer_started ? WP_ATTEMPT_RESUME : WP_ATTEMPT_RETRY;
     if (wp_flow_is_retryable(f) && try_again(f, now, why, out))
         return;
-    give_up(f, how == WP_LOSS_SILENT ? WP_LINK_LOST : WP_ENDPOINT_FAILED, 0,
+    give_up(f, how == WP_LOSS_NO_ANSWER ? WP_LINK_LOST : WP_ENDPOINT_FAILED, 0,
             out);
 }
 
-bool wp_flow_impatient(WPFlow *f, WPTime now, WPMove *out)
+bool wp_flow_on_first_byte_timeout(WPFlow *f, WPTime now, WPFlowAction *out)
 {
-    WPAttempt previous = f->leg;
-    if (previous.heard || f->passing || f->hurried || !previous.replica)
+    WPAttempt previous = f->attempt;
+    if (previous.first_byte_seen || f->answer_started ||
+        f->first_byte_timed_out || !previous.replica)
         return false;
-    if (f->n_tried == WP_FLOW_TRIED_MOST)
+    if (f->n_tried == WP_FLOW_TRIED_MAX)
         return false;
     wp_flow_sample_overdue(f, now);
-    f->hurried = true;
+    f->first_byte_timed_out = true;
     f->tried[f->n_tried++] = wp_replica_ref(previous.replica);
-    f->ran++;
-    if (try_again(f, now, WP_WHY_RETRY, out)) {
+    f->attempts_run++;
+    if (try_again(f, now, WP_ATTEMPT_RETRY, out)) {
         end_attempt(f, now, &previous, WP_OUTCOME_NO_RESPONSE);
         return true;
     }
-    f->ran--;
+    f->attempts_run--;
     wp_replica_unref(f->tried[--f->n_tried]);
     return false;
 }
 
-void wp_flow_expired(WPFlow *f, WPTime now, WPMove *out)
+void wp_flow_on_deadline(WPFlow *f, WPTime now, WPFlowAction *out)
 {
-    bool sent = f->leg.replica || f->ran;
+    bool sent = f->attempt.replica || f->attempts_run;
     wp_flow_sample_overdue(f, now);
-    end_present_attempt(
-        f, now, f->leg.heard ? WP_OUTCOME_ABANDONED : WP_OUTCOME_NO_RESPONSE);
+    end_present_attempt(f, now,
+                        f->attempt.first_byte_seen ? WP_OUTCOME_ABANDONED
+                                                   : WP_OUTCOME_NO_RESPONSE);
     if (sent)
         give_up(f, WP_TIMED_OUT, 0, out);
     else
@@ -525,29 +544,31 @@
    its last request. */
 static void note_session(WPFlow *f, WPTime now)
 {
-    if (f->session && f->leg.replica && f->passing)
-        wp_direct_session_on(f->d, now, f->session, f->leg.replica->version);
+    if (f->session && f->attempt.replica && f->answer_started)
+        wp_direct_record_session(f->direct, now, f->session,
+                                 f->attempt.replica->version);
 }
 
-void wp_flow_done(WPFlow *f, WPTime now, uint64_t events)
+void wp_flow_on_done(WPFlow *f, WPTime now, uint64_t events)
 {
     wp_flow_sample_event_gap(f, now, events);
     wp_flow_learn_stall(f);
     note_session(f, now);
     end_present_attempt(f, now, WP_OUTCOME_OK);
-    if (wp_suspects_completed(f->d->suspects, now, f->hash))
-        wp_count(&f->d->counters, WP_C_SUSPECTS_CLEARED);
-    wp_count(&f->d->counters, WP_C_ANSWERED);
-    wp_histogram_add(&f->d->counters.whole_answer, now.mono_us - f->start_us);
-    if (f->gap_us)
-        wp_histogram_add(&f->d->counters.longest_gap, f->gap_us);
+    if (wp_suspects_completed(f->direct->suspects, now, f->hash))
+        wp_count(&f->direct->counters, WP_C_SUSPECTS_CLEARED);
+    wp_count(&f->direct->counters, WP_C_ANSWERED);
+    wp_histogram_add(&f->direct->counters.whole_answer,
+                     now.mono_us - f->start_us);
+    if (f->max_gap_us)
+        wp_histogram_add(&f->direct->counters.longest_gap, f->max_gap_us);
 }
 
-void wp_flow_left(WPFlow *f, WPTime now)
+void wp_flow_on_caller_gone(WPFlow *f, WPTime now)
 {
     note_session(f, now);
     end_present_attempt(f, now, WP_OUTCOME_ABANDONED);
-    wp_count(&f->d->counters, WP_C_CALLERS_GONE);
+    wp_count(&f->direct->counters, WP_C_CALLERS_GONE);
 }
 
 void wp_flow_free(WPFlow *f)
@@ -563,7 +584,7 @@
     g_free(f);
 }
 
-const char *wp_why_name(WPWhy why)
+const char *wp_attempt_reason_name(WPAttemptReason why)
 {
     static const char *const names[] = { "first", "retry", "better", "resume" };
     return names[why];
--- a/src/wp_flow_head.c
+++ b/src/wp_flow_head.c
@@ -7,23 +7,23 @@
     /* A 429 to a request that did run may be the application's limit for one
        caller. */
     bool refuses = a->status == 503 || (a->status == 429 && a->not_run);
-    return !a->wrong && refuses && a->rest.backoff_s > 0;
+    return !a->wrong_endpoint && refuses && a->backoff.backoff_s > 0;
 }
 
 static void apply_limit(WPFlow *f, WPTime now, const WPDirectAnswer *a,
-                        WPHeard *out)
+                        WPHeadChanges *out)
 {
-    WPReplica *s = f->leg.replica;
-    const WPLimitReport seen = { a->limit, a->genuine, f->leg.sent_us };
-    out->limit_was = wp_fleet_limit_of(s);
-    out->limit = wp_fleet_record_limit(f->d->fleet, s, now, &seen);
+    WPReplica *s = f->attempt.replica;
+    const WPLimitReport seen = { a->limit, a->has_seal, f->attempt.sent_us };
+    out->previous_limit = wp_fleet_limit_of(s);
+    out->limit = wp_fleet_record_limit(f->direct->fleet, s, now, &seen);
 }
 
 static const char *invalid_field(const WPDirectAnswer *a)
 {
-    if (a->leaving.status == WP_NOTICE_INVALID)
+    if (a->draining.status == WP_NOTICE_INVALID)
         return "leaving";
-    return a->rest.status == WP_NOTICE_INVALID ? "rest" : NULL;
+    return a->backoff.status == WP_NOTICE_INVALID ? "rest" : NULL;
 }
 
 /* Counts the request as usage of its workspace, once. An endpoint's answer
@@ -33,34 +33,37 @@
 static void note_usage(WPFlow *f, WPTime now, const WPDirectAnswer *a)
 {
     bool streams = f->route->retry_policy == WP_RETRY_STREAM;
-    bool ran = !a->not_run && a->genuine && (!streams || a->status == 200);
-    if (!f->d->usage || !f->workspace || !ran || f->counted)
+    bool ran = !a->not_run && a->has_seal && (!streams || a->status == 200);
+    if (!f->direct->usage || !f->workspace || !ran || f->usage_counted)
         return;
-    f->counted = true;
-    wp_usage_note(f->d->usage, streams ? now.mono_us : f->leg.sent_us,
-                  f->workspace);
+    f->usage_counted = true;
+    wp_usage_count_request(f->direct->usage,
+                           streams ? now.mono_us : f->attempt.sent_us,
+                           f->workspace);
 }
 
-void wp_flow_head(WPFlow *f, WPTime now, const WPDirectAnswer *a, WPHeard *out)
+void wp_flow_on_head(WPFlow *f, WPTime now, const WPDirectAnswer *a,
+                     WPHeadChanges *out)
 {
-    WPFleet *fleet = f->d->fleet;
-    WPReplica *s = f->leg.replica;
-    *out = (WPHeard){ 0 };
-    if (a->wrong) /* reports of another endpoint at this address */
+    WPFleet *fleet = f->direct->fleet;
+    WPReplica *s = f->attempt.replica;
+    *out = (WPHeadChanges){ 0 };
+    if (a->wrong_endpoint) /* reports of another endpoint at this address */
         return;
     if (a->has_load)
         wp_fleet_record_load(fleet, s, now, a->running, a->waiting, a->slots);
-    if (a->pace)
-        wp_fleet_record_slowdown(s, a->pace);
-    wp_suspects_endpoint_alive(f->d->suspects, now, s->incarnation_hash,
-                               f->leg.sent_us);
+    if (a->slowdown)
+        wp_fleet_record_slowdown(s, a->slowdown);
+    wp_suspects_endpoint_alive(f->direct->suspects, now, s->incarnation_hash,
+                               f->attempt.sent_us);
     note_usage(f, now, a);
     apply_limit(f, now, a, out);
-    if (a->leaving.status == WP_NOTICE_PRESENT)
-        out->leaves = wp_fleet_record_draining(fleet, s, now);
+    if (a->draining.status == WP_NOTICE_PRESENT)
+        out->draining = wp_fleet_record_draining(fleet, s, now);
     if (wp_flow_requests_backoff(a))
-        out->rests = wp_fleet_record_backoff(fleet, s, now, a->rest.backoff_s);
-    out->bad = invalid_field(a);
-    if (out->bad && !wp_fleet_should_report_bad_field(s, now))
-        out->bad = NULL;
+        out->backoff =
+            wp_fleet_record_backoff(fleet, s, now, a->backoff.backoff_s);
+    out->bad_field = invalid_field(a);
+    if (out->bad_field && !wp_fleet_should_report_bad_field(s, now))
+        out->bad_field = NULL;
 }
--- a/src/wp_flow_int.h
+++ b/src/wp_flow_int.h
@@ -16,13 +16,13 @@
 /* Hash of workspace, host and content (method, target and body), the same at
    each box to which a caller sends the request; and hash of an endpoint's
    service and version. */
-uint64_t wp_flow_request_hash(const WPFlow *f, const WPDirectAsk *ask);
+uint64_t wp_flow_request_hash(const WPFlow *f, const WPDirectRequest *ask);
 uint64_t wp_flow_version_hash(const WPReplica *s);
 
 /* wp_flow_loss_outcome() returns the outcome of the present attempt, whose
    connection was lost; wp_flow_record_crash() records that its endpoint may
    have crashed during the request. */
-WPAttemptOutcome wp_flow_loss_outcome(const WPFlow *f, WPLoss how);
+WPAttemptOutcome wp_flow_loss_outcome(const WPFlow *f, WPAttemptLoss how);
 void wp_flow_record_crash(WPFlow *f, WPTime now);
 
 /* The name of the model to request from the endpoint: the present one of the
@@ -87,7 +87,8 @@
    which it is no part. */
 uint32_t wp_flow_session_bound_ms(const WPFlow *f, WPTime now);
 
-/* wp_flow_head.c: whether the answer is a refusal that asks for a back-off. */
+/* wp_flow_on_head.c: whether the answer is a refusal that asks for a back-off.
+ */
 bool wp_flow_requests_backoff(const WPDirectAnswer *a);
 
 /* The endpoint for the next attempt, with a reference for the caller; NULL when
--- a/src/wp_flow_learn.c
+++ b/src/wp_flow_learn.c
@@ -54,15 +54,15 @@
     bool failed = how == WP_OUTCOME_FAILED || how == WP_OUTCOME_STREAM_BROKEN;
     if (is_new || (how != WP_OUTCOME_OK && !failed))
         return;
-    WPFleet *fleet = f->d->fleet;
+    WPFleet *fleet = f->direct->fleet;
     bool known = wp_fleet_fails_under_load(fleet, now,
                                            attempt->replica->service, version);
-    wp_fleet_record_answer(fleet, now, attempt->replica, attempt->taken,
+    wp_fleet_record_answer(fleet, now, attempt->replica, attempt->utilization,
                            failed);
     if (known || !wp_fleet_fails_under_load(fleet, now,
                                             attempt->replica->service, version))
         return;
-    wp_count(&f->d->counters, WP_C_FAILS_LOADED);
+    wp_count(&f->direct->counters, WP_C_FAILS_LOADED);
     g_free(f->fails_loaded);
     f->fails_loaded = g_strdup(version);
 }
@@ -73,7 +73,8 @@
 {
     double target_us = (double)f->route->target_latency_ms * WP_US_PER_MS;
     double ratio = MIN((double)took_us / target_us, TARGET_RATIO_MAX);
-    f->d->lag += TARGET_RATIO_WEIGHT * (ratio - f->d->lag);
+    f->direct->target_ratio +=
+        TARGET_RATIO_WEIGHT * (ratio - f->direct->target_ratio);
 }
 
 /* Whether the attempt is on the new version of a running shift. Such attempts
@@ -83,41 +84,42 @@
 {
     const WPShift *sh = wp_flow_shift(f);
     return sh && sh->state == WP_SHIFT_RUNNING &&
-           !strcmp(f->leg.replica->version, sh->version);
+           !strcmp(f->attempt.replica->version, sh->version);
 }
 
 void wp_flow_record_first_byte(WPFlow *f, WPTime now)
 {
     WPTtfbModel *v = wp_flow_ttfb_model(f, wp_flow_model(f));
-    int64_t took_us = now.mono_us - f->leg.sent_us;
-    if (f->leg.heard)
+    int64_t took_us = now.mono_us - f->attempt.sent_us;
+    if (f->attempt.first_byte_seen)
         return;
-    f->leg.heard = true;
-    f->leg.first_us = now.mono_us;
+    f->attempt.first_byte_seen = true;
+    f->attempt.first_byte_us = now.mono_us;
     if (f->route->target_latency_ms)
         update_target_ratio(f, took_us);
-    wp_fleet_first_byte(f->d->fleet, f->leg.replica, f->leg.reading_us, took_us,
-                        (int64_t)f->leg.expect_us);
-    if (!is_canary(f) || !f->leg.expect_us)
-        wp_ttfb_add(v, &f->leg.work, took_us);
+    wp_fleet_first_byte(f->direct->fleet, f->attempt.replica,
+                        f->attempt.prefill_us, took_us,
+                        (int64_t)f->attempt.expected_ttfb_us);
+    if (!is_canary(f) || !f->attempt.expected_ttfb_us)
+        wp_ttfb_add(v, &f->attempt.ttfb_inputs, took_us);
 }
 
 void wp_flow_sample_shift(WPFlow *f, bool failed, WPAnswerTime time)
 {
     WPShift *sh = wp_flow_shift(f);
-    if (f->leg.judged || !f->leg.replica)
+    if (f->attempt.sampled || !f->attempt.replica)
         return;
-    f->leg.judged = true;
+    f->attempt.sampled = true;
     if (!sh || sh->state != WP_SHIFT_RUNNING)
         return;
-    if (is_canary(f) && f->leg.loaded)
-        wp_canary_record_loaded(&sh->canary, f->leg.replica->id, failed);
-    const WPCanaryAnswer a = { .version = f->leg.replica->version,
-                               .replica = f->leg.replica->id,
+    if (is_canary(f) && f->attempt.loaded)
+        wp_canary_record_loaded(&sh->canary, f->attempt.replica->id, failed);
+    const WPCanaryAnswer a = { .version = f->attempt.replica->version,
+                               .replica = f->attempt.replica->id,
                                .route = f->route->name,
                                .failed = failed,
                                .time = time,
-                               .utilization = f->leg.taken };
+                               .utilization = f->attempt.utilization };
     wp_shift_record_answer(sh, &a);
 }
 
@@ -125,9 +127,9 @@
    a running shift. Times at busy endpoints show nothing. */
 WPAnswerTime wp_flow_classify_time(WPFlow *f, const char *what, double us)
 {
-    WPQuartiles *u = wp_direct_usual(f->d, what, wp_flow_model(f));
+    WPQuartiles *u = wp_direct_quartiles(f->direct, what, wp_flow_model(f));
     double lower = wp_quartiles_lower(u), upper = wp_quartiles_upper(u);
-    if (f->leg.crowded)
+    if (f->attempt.busy)
         return WP_TIME_UNKNOWN;
     if (!is_canary(f))
         wp_quartiles_add(u, us);
@@ -146,13 +148,13 @@
    model, not on the route. */
 void wp_flow_sample_event_gap(WPFlow *f, WPTime now, uint64_t events)
 {
-    if (f->leg.judged || !f->leg.heard)
+    if (f->attempt.sampled || !f->attempt.first_byte_seen)
         return;
     if (events < GAP_EVENTS_MIN) {
         wp_flow_sample_shift(f, false, WP_TIME_UNKNOWN);
         return;
     }
-    int64_t since_first_us = now.mono_us - f->leg.first_us;
+    int64_t since_first_us = now.mono_us - f->attempt.first_byte_us;
     double mean_gap_us = (double)since_first_us / (double)(events - 1);
     wp_flow_sample_shift(
         f, false, wp_flow_classify_time(f, f->service->name, mean_gap_us));
@@ -162,20 +164,21 @@
    events. */
 static void update_gap(WPFlow *f, WPTime now, uint64_t events)
 {
-    if (events <= f->leg.events)
+    if (events <= f->attempt.events)
         return;
-    int64_t gap_us = f->event_us ? now.mono_us - f->event_us : 0;
-    f->gap_us = MAX(f->gap_us, gap_us);
-    f->leg.events = events;
-    f->event_us = now.mono_us;
+    int64_t gap_us = f->last_event_us ? now.mono_us - f->last_event_us : 0;
+    f->max_gap_us = MAX(f->max_gap_us, gap_us);
+    f->attempt.events = events;
+    f->last_event_us = now.mono_us;
 }
 
-void wp_flow_progress(WPFlow *f, WPTime now, uint64_t events)
+void wp_flow_on_events(WPFlow *f, WPTime now, uint64_t events)
 {
     update_gap(f, now, events);
-    wp_suspects_endpoint_alive(
-        f->d->suspects, now, f->leg.replica->incarnation_hash, f->leg.sent_us);
-    if (events >= GAP_SAMPLE_EVENTS && !f->leg.judged)
+    wp_suspects_endpoint_alive(f->direct->suspects, now,
+                               f->attempt.replica->incarnation_hash,
+                               f->attempt.sent_us);
+    if (events >= GAP_SAMPLE_EVENTS && !f->attempt.sampled)
         wp_flow_sample_event_gap(f, now, events);
 }
 
@@ -184,21 +187,22 @@
 void wp_flow_learn_stall(WPFlow *f)
 {
     double target_us = (double)f->route->max_event_gap_ms * WP_US_PER_MS;
-    if (!f->leg.replica || !f->gap_us || f->n_tried)
+    if (!f->attempt.replica || !f->max_gap_us || f->n_tried)
         return;
-    double prefill_us =
-        wp_prefill_peaks_max_since(&f->leg.replica->peaks, f->leg.first_us);
-    wp_stall_add(&f->d->pauses, prefill_us, target_us, (double)f->gap_us);
+    double prefill_us = wp_prefill_peaks_max_since(&f->attempt.replica->peaks,
+                                                   f->attempt.first_byte_us);
+    wp_stall_add(&f->direct->stalls, prefill_us, target_us,
+                 (double)f->max_gap_us);
 }
 
 /* A non-streaming answer that is overdue counts as a slow one. */
 void wp_flow_sample_overdue(WPFlow *f, WPTime now)
 {
-    if (!f->leg.replica || f->leg.judged || !is_unbatched(f))
+    if (!f->attempt.replica || f->attempt.sampled || !is_unbatched(f))
         return;
-    double us = (double)(now.mono_us - f->leg.sent_us);
+    double us = (double)(now.mono_us - f->attempt.sent_us);
     double upper = wp_quartiles_upper(
-        wp_direct_usual(f->d, f->route->name, wp_flow_model(f)));
-    if (upper > 0 && us > SLOW_RATIO * upper && !f->leg.crowded)
+        wp_direct_quartiles(f->direct, f->route->name, wp_flow_model(f)));
+    if (upper > 0 && us > SLOW_RATIO * upper && !f->attempt.busy)
         wp_flow_sample_shift(f, false, WP_TIME_RATIO_SLOW);
 }
--- a/src/wp_flow_pick.c
+++ b/src/wp_flow_pick.c
@@ -27,13 +27,13 @@
 
 WPShift *wp_flow_shift(const WPFlow *f)
 {
-    return wp_shifts_find(f->d->shifts, f->service->name);
+    return wp_shifts_find(f->direct->shifts, f->service->name);
 }
 
 static bool is_version_allowed(void *arg, const char *version)
 {
     const WPFlow *f = arg;
-    return wp_shifts_allows(f->d->shifts, f->service->name, version);
+    return wp_shifts_allows(f->direct->shifts, f->service->name, version);
 }
 
 /* Whether a version other than the shift's target may take requests. */
@@ -51,21 +51,24 @@
         .service = f->service->name,
         .allowed = is_version_allowed,
         .allowed_arg = f,
-        .zone = f->d->rules.zone,
+        .zone = f->direct->rules.zone,
         .prompt = engine ? &f->prompt : NULL,
         .model = engine ? wp_hash(model, 0) : 0,
         .ttfb = wp_flow_ttfb_model(f, model),
-        .ttfb_weight = f->d->rules.second * wp_value_rate_per_s(&f->d->earned),
-        .stalls = engine ? &f->d->pauses : NULL,
+        .ttfb_weight = f->direct->rules.first_byte_weight *
+                       wp_value_rate_per_s(&f->direct->value_rate),
+        .stalls = engine ? &f->direct->stalls : NULL,
         .max_stall_us = (double)f->route->max_event_gap_ms * WP_US_PER_MS,
-        .stall_weight = f->d->rules.fleet.stall_weight * f->d->rules.second *
-                        wp_cascade_late_loss(&f->d->earned),
+        .stall_weight = f->direct->rules.fleet.stall_weight *
+                        f->direct->rules.first_byte_weight *
+                        wp_cascade_late_loss(&f->direct->value_rate),
         .memory_tokens = f->service->kv_cache_tokens,
         .body_bytes = f->body_bytes,
         .tried = f->tried,
         .n_tried = f->n_tried,
         .non_repeatable = !wp_flow_is_retryable(f),
-        .endpoint_losses = wp_suspects_crash_count(f->d->suspects, f->hash),
+        .endpoint_losses =
+            wp_suspects_crash_count(f->direct->suspects, f->hash),
         .priority = f->priority,
         .random = f->draw,
         .areas = f->route->areas,
@@ -84,7 +87,7 @@
                         WPExclusion bar)
 {
     WPExcludedEndpoints barred;
-    return wp_fleet_find_excluded(f->d->fleet, now, w, bar, &barred);
+    return wp_fleet_find_excluded(f->direct->fleet, now, w, bar, &barred);
 }
 
 /* The same for back-offs, including endpoints that this request has already
@@ -105,18 +108,19 @@
 static WPReplica *choose_side(WPFlow *f, WPTime now, WPShift *sh,
                               WPEndpointQuery w, bool *stays)
 {
-    WPDirect *d = f->d;
+    WPDirect *d = f->direct;
     const char *last =
-        f->session ? wp_direct_session(d, now, f->session) : NULL;
+        f->session ? wp_direct_session_version(d, now, f->session) : NULL;
     bool new_side = wp_shift_routes_to_new(
-        d->shifts, sh, now, wp_direct_place(d, now, sh, f->unit), last);
+        d->shifts, sh, now, wp_direct_shift_position(d, now, sh, f->position),
+        last);
     if (new_side)
         w.version = sh->version;
     else
         w.allowed = is_other_version_allowed;
     WPReplica *s = wp_fleet_choose(d->fleet, now, &w);
     bool bound = !new_side || last;
-    *stays = !s && bound && !f->passing &&
+    *stays = !s && bound && !f->answer_started &&
              (is_excluded(f, now, &w, WP_EXCLUDED_LIMIT) ||
               is_backing_off(f, now, &w));
     return s;
@@ -124,7 +128,7 @@
 
 WPReplica *wp_flow_choose_endpoint(WPFlow *f, WPTime now)
 {
-    WPDirect *d = f->d;
+    WPDirect *d = f->direct;
     WPShift *sh = wp_flow_shift(f);
     WPEndpointQuery w = wp_flow_query(f);
     WPReplica *s = NULL;
@@ -162,11 +166,11 @@
     const WPShift *sh = wp_flow_shift(f);
     if (!f->session || !sh || sh->state != WP_SHIFT_RUNNING)
         return 0;
-    const char *last = wp_direct_session(f->d, now, f->session);
+    const char *last = wp_direct_session_version(f->direct, now, f->session);
     if (!last || !strcmp(last, WP_VERSION_OLD) ||
         !wp_shift_has_retired(sh, last))
         return 0;
-    return wp_direct_session_left_ms(f->d, now, f->session);
+    return wp_direct_session_remaining_ms(f->direct, now, f->session);
 }
 
 int64_t wp_flow_remaining_ms(const WPFlow *f, WPTime now)
@@ -184,8 +188,8 @@
     /* The TTFB of a stream depends on the model and the prompt, not on the
        route. */
     bool streams = f->route->retry_policy == WP_RETRY_STREAM;
-    return wp_direct_speed(f->d, streams ? f->service->name : f->route->name,
-                           model);
+    return wp_direct_ttfb_model(
+        f->direct, streams ? f->service->name : f->route->name, model);
 }
 
 /* The expected TTFB with a model of which too few samples are known: that with
@@ -217,12 +221,12 @@
 {
     *prefill_us = 0;
     const WPEndpointQuery w = query_for(f, model);
-    WPReplica *s = w.prompt ? wp_fleet_choose(f->d->fleet, now, &w) : NULL;
+    WPReplica *s = w.prompt ? wp_fleet_choose(f->direct->fleet, now, &w) : NULL;
     if (!s)
         return 0;
     const WPReplica *source;
     const WPTtfbInputs work =
-        wp_fleet_ttfb_inputs(f->d->fleet, now, &w, s, &source);
+        wp_fleet_ttfb_inputs(f->direct->fleet, now, &w, s, &source);
     wp_replica_unref(s);
     double us = wp_ttfb_predict(w.ttfb, &work);
     *prefill_us = wp_ttfb_predict_prefill(w.ttfb, &work);
@@ -231,12 +235,13 @@
 
 uint32_t wp_flow_first_byte_timeout_ms(WPFlow *f)
 {
-    double expected_us = f->leg.expect_us;
+    double expected_us = f->attempt.expected_ttfb_us;
     uint32_t min_ms = f->route->retry_policy == WP_RETRY_STREAM
                           ? STREAM_TIMEOUT_MIN_MS
                           : FIRST_BYTE_TIMEOUT_MIN_MS;
-    if (!wp_flow_is_retryable(f) || f->hurried || f->leg.crowded ||
-        wp_flow_is_serialized(f) || f->ran + 1 >= f->route->max_attempts)
+    if (!wp_flow_is_retryable(f) || f->first_byte_timed_out ||
+        f->attempt.busy || wp_flow_is_serialized(f) ||
+        f->attempts_run + 1 >= f->route->max_attempts)
         return 0;
     if (expected_us <= 0)
         return MAX(f->route->target_latency_ms, min_ms);
@@ -252,7 +257,7 @@
 bool wp_flow_can_finish_within(WPFlow *f, uint32_t left_ms)
 {
     double upper = wp_quartiles_upper(
-        wp_direct_usual(f->d, f->route->name, wp_flow_model(f)));
+        wp_direct_quartiles(f->direct, f->route->name, wp_flow_model(f)));
     bool plain = f->route->retry_policy != WP_RETRY_STREAM;
     return plain && upper > 0 &&
            PLAIN_TIME_RATIO * upper < (double)left_ms * WP_US_PER_MS;
@@ -276,30 +281,31 @@
    the models' costs. */
 static double prefill_price(const WPFlow *f, double us)
 {
-    const WPDirect *d = f->d;
+    const WPDirect *d = f->direct;
     return us / WP_US_PER_S *
-           wp_cascade_prefill_price(&d->rules.cascade, &d->earned, d->lag);
+           wp_cascade_prefill_price(&d->rules.cascade, &d->value_rate,
+                                    d->target_ratio);
 }
 
 bool wp_flow_should_escalate(WPFlow *f, WPTime now, const WPDirectAnswer *a)
 {
     const GPtrArray *models = f->route->models;
-    if (a->confidence < 0 || f->step + 1 >= models->len || f->passing ||
+    if (a->confidence < 0 || f->step + 1 >= models->len || f->answer_started ||
         wp_flow_is_serialized(f))
         return false;
     /* Rather a poor answer than a failure at endpoints that fail under load:
        the largest model is what loads them most. */
     const WPEndpointQuery w = wp_flow_query(f);
-    if (wp_fleet_should_reduce_load(f->d->fleet, now, &w,
-                                    f->leg.replica->version))
+    if (wp_fleet_should_reduce_load(f->direct->fleet, now, &w,
+                                    f->attempt.replica->version))
         return false;
     /* After a failed attempt, one should be left besides this one and the
        larger model's. */
-    if (f->ran > 0 && f->ran + 3 > f->route->max_attempts)
+    if (f->attempts_run > 0 && f->attempts_run + 3 > f->route->max_attempts)
         return false;
     wp_good_share_add(
-        wp_direct_quality(f->d, f->route->name),
-        wp_cascade_good_chance(&f->d->rules.cascade, a->confidence));
+        wp_direct_quality(f->direct, f->route->name),
+        wp_cascade_good_chance(&f->direct->rules.cascade, a->confidence));
     const char *largest = g_ptr_array_index(models, models->len - 1);
     double prefill_us;
     double chance = probability_in_time(f, now, wp_str(largest), &prefill_us);
@@ -311,9 +317,9 @@
                                     .prefill_price =
                                         prefill_price(f, prefill_us),
                                     .on_time_chance = chance };
-    if (wp_cascade_escalation_gain(&f->d->rules.cascade, &c) <= 0)
+    if (wp_cascade_escalation_gain(&f->direct->rules.cascade, &c) <= 0)
         return false;
-    double took = (double)(now.mono_us - f->leg.sent_us);
+    double took = (double)(now.mono_us - f->attempt.sent_us);
     return wp_flow_remaining_ms(f, now) * WP_US_PER_MS >
            ESCALATION_TIME_RATIO * took;
 }
@@ -337,9 +343,9 @@
         .model_cost =
             wp_service_cost(f->service, model_at(f, models->len - 1).p),
         .prefill_price = prefill_price(f, prefill_us),
-        .good_share = wp_direct_quality(f->d, f->route->name)->share,
+        .good_share = wp_direct_quality(f->direct, f->route->name)->share,
         .on_time_both = wp_cascade_on_time_chance(small + large, target_us),
         .on_time_largest = wp_cascade_on_time_chance(large, target_us),
     };
-    return wp_cascade_starts_with_largest(&f->d->rules.cascade, &c);
+    return wp_cascade_starts_with_largest(&f->direct->rules.cascade, &c);
 }
--- a/src/wp_flow_suspect.c
+++ b/src/wp_flow_suspect.c
@@ -7,7 +7,7 @@
 
 bool wp_flow_is_serialized(const WPFlow *f)
 {
-    return wp_suspects_crash_count(f->d->suspects, f->hash) >=
+    return wp_suspects_crash_count(f->direct->suspects, f->hash) >=
            SERIALIZED_MIN_CRASHES;
 }
 
@@ -18,21 +18,21 @@
 
 /* The workspace is part of the hash, so that nobody affects another workspace's
    requests by sending a copy of them. */
-uint64_t wp_flow_request_hash(const WPFlow *f, const WPDirectAsk *ask)
+uint64_t wp_flow_request_hash(const WPFlow *f, const WPDirectRequest *ask)
 {
     WPStr caller = f->workspace ? wp_str(f->workspace) : wp_str("");
-    return wp_hash(caller, wp_hash(ask->host, ask->content));
+    return wp_hash(caller, wp_hash(ask->host, ask->content_hash));
 }
 
 /* When an endpoint crashes, all requests that run there lose their connections:
    only the first counts as a failure of its version. With each counted, one
    crash of a half-full endpoint made its version one that fails under load,
    which was then avoided for 30 s (test_loaded). */
-WPAttemptOutcome wp_flow_loss_outcome(const WPFlow *f, WPLoss how)
+WPAttemptOutcome wp_flow_loss_outcome(const WPFlow *f, WPAttemptLoss how)
 {
-    bool gone = wp_suspects_is_presumed_dead(f->d->suspects,
-                                             f->leg.replica->incarnation_hash);
-    if (how == WP_LOSS_SILENT || gone)
+    bool gone = wp_suspects_is_presumed_dead(
+        f->direct->suspects, f->attempt.replica->incarnation_hash);
+    if (how == WP_LOSS_NO_ANSWER || gone)
         return WP_OUTCOME_NO_RESPONSE;
     bool stream = f->route->retry_policy == WP_RETRY_STREAM;
     return stream ? WP_OUTCOME_STREAM_BROKEN : WP_OUTCOME_FAILED;
@@ -40,10 +40,11 @@
 
 void wp_flow_record_crash(WPFlow *f, WPTime now)
 {
-    const WPReplica *s = f->leg.replica;
+    const WPReplica *s = f->attempt.replica;
     const WPSuspectAttempt run = { f->hash, s->incarnation_hash,
-                                   wp_flow_version_hash(s), f->leg.sent_us,
-                                   f->leg.first_us };
-    wp_count(&f->d->counters, WP_C_ENDED_UNDER);
-    f->ended = wp_suspects_record_crash(f->d->suspects, now, &run);
+                                   wp_flow_version_hash(s), f->attempt.sent_us,
+                                   f->attempt.first_byte_us };
+    wp_count(&f->direct->counters, WP_C_ENDED_UNDER);
+    f->endpoints_lost =
+        wp_suspects_record_crash(f->direct->suspects, now, &run);
 }
