--- a/src/wp_plan.c
+++ b/src/wp_plan.c
@@ -6,17 +6,18 @@
 #define OWNER_RETRY_MS 50
 #define OWNER_WAIT_MAX_US (3 * WP_US_PER_S)
 
-WPStep wp_final(WPCode code, uint32_t retry_ms)
+WPEntryAction wp_entry_fail(WPCode code, uint32_t retry_ms)
 {
-    return (WPStep){ WP_STEP_FINAL, code, retry_ms, NULL };
+    return (WPEntryAction){ WP_ENTRY_FAIL, code, retry_ms, NULL };
 }
 
-WPStep wp_later(void)
+WPEntryAction wp_entry_retry_later(void)
 {
-    return (WPStep){ WP_STEP_LATER, WP_NOT_KEEPER, OWNER_RETRY_MS, NULL };
+    return (WPEntryAction){ WP_ENTRY_RETRY_LATER, WP_NOT_KEEPER, OWNER_RETRY_MS,
+                            NULL };
 }
 
-bool wp_may_wait_for_keeper(const WPRequest *r, WPTime now)
+bool wp_may_wait_for_key_owner(const WPRequest *r, WPTime now)
 {
     return !r->repeatable && now.mono_us - r->begun_us < OWNER_WAIT_MAX_US &&
            now.mono_us + OWNER_RETRY_MS * WP_US_PER_MS < r->deadline_us;
@@ -24,7 +25,7 @@
 
 static bool has_free_slot(const WPPool *pool, int64_t now_us)
 {
-    GPtrArray *const pools[] = { pool->near, pool->far };
+    GPtrArray *const pools[] = { pool->local, pool->remote };
     for (int s = 0; s < 2; s++) {
         for (guint i = 0; i < MIN(pools[s]->len, WP_PICK_MAX); i++) {
             const WPEndpoint *p = pools[s]->pdata[i];
@@ -43,7 +44,8 @@
     WPVersionSet busy = { 0 }, served = { 0 };
     for (unsigned i = 0; i < e->n_pools; i++) {
         const WPPool *pool = &e->pools[i];
-        if (!wp_version_set_has(set, i) || !(pool->near->len + pool->far->len))
+        if (!wp_version_set_has(set, i) ||
+            !(pool->local->len + pool->remote->len))
             continue;
         wp_version_set_add(&served, i);
         if (!has_free_slot(pool, now.mono_us))
@@ -56,7 +58,7 @@
 
 static bool may_explore(WPEntry *e, const WPRequest *r)
 {
-    const WPUse *u = g_hash_table_lookup(e->uses, r->workspace);
+    const WPWorkspaceTraffic *u = g_hash_table_lookup(e->traffic, r->workspace);
     return (double)u->explored < WP_EXPLORE_CAP * (double)u->requests;
 }
 
@@ -96,12 +98,12 @@
     r->version = g_strdup(version_name(e, got.version));
     r->explored = got.explored;
     if (got.explored) {
-        WPUse *x = g_hash_table_lookup(e->uses, r->workspace);
+        WPWorkspaceTraffic *x = g_hash_table_lookup(e->traffic, r->workspace);
         x->explored++;
         wp_count(wp_node_counters(e->node), WP_C_EXPLORED);
     }
     if (got.escalate >= 0)
-        r->escalate = g_strdup(version_name(e, got.escalate));
+        r->escalation_version = g_strdup(version_name(e, got.escalate));
 }
 
 void wp_plan_spill(WPEntry *e, WPTime now, WPRequest *r)
@@ -111,9 +113,9 @@
     WPVersionSet rest = r->allowed;
     if (!v || !kind || r->sticky || r->step)
         return;
-    wp_version_set_add(&r->full, v->index);
+    wp_version_set_add(&r->full_versions, v->index);
     for (unsigned w = 0; w < WP_VERSION_SET_WORDS; w++)
-        rest.w[w] &= ~r->full.w[w];
+        rest.w[w] &= ~r->full_versions.w[w];
     if (wp_version_set_empty(&rest))
         return;
     WPVersionChoice got = choose_among(e, now, r, kind, rest, false);
@@ -124,7 +126,7 @@
         return;
     g_free(r->version);
     r->version = g_strdup(version_name(e, got.version));
-    g_clear_pointer(&r->escalate, g_free);
+    g_clear_pointer(&r->escalation_version, g_free);
     r->explored = false;
 }
 
@@ -147,28 +149,28 @@
     c.start_ms = start_ms ? start_ms : (uint64_t)now.wall_ms;
     c.nonce.data = old ? old->nonce.data : (uint8_t *)r->id;
     c.nonce.len = old ? old->nonce.len : strlen(r->id);
-    r->token = wp_token_sign(e->policy, &c);
+    r->new_session_token = wp_token_sign(e->policy, &c);
 }
 
 static void place_session(WPEntry *e, WPTime now, WPRequest *r,
                           const WPKind *kind, const Wp__SessionClaim *claim)
 {
-    WPSessionAsk s = { .claim = claim,
-                       .id = wp_str(r->session_id),
-                       .workspace =
-                           wp_policy_workspace(e->policy, r->workspace),
-                       .labels = r->labels,
-                       .now_ms = (uint64_t)now.wall_ms };
-    if (e->off[WP_GUARD_SESSION])
+    WPSessionQuery s = { .claim = claim,
+                         .id = wp_str(r->session_id),
+                         .workspace =
+                             wp_policy_workspace(e->policy, r->workspace),
+                         .labels = r->labels,
+                         .now_ms = (uint64_t)now.wall_ms };
+    if (e->guard_off[WP_GUARD_SESSION])
         return;
-    WPSessionPlace at = wp_session_place(e->policy, kind, &r->allowed, &s);
+    WPSessionPlacement at = wp_session_place(e->policy, kind, &r->allowed, &s);
     if (at.version < 0)
         return;
     r->version = g_strdup(
         wp_policy_version_at(e->policy, (unsigned)at.version)->spec->name);
     r->sticky = true;
-    r->moved = at.moved;
-    r->start_ms = at.start_ms;
+    r->session_moved = at.moved;
+    r->session_start_ms = at.start_ms;
     if (at.moved)
         wp_count(wp_node_counters(e->node), WP_C_SESSIONS_MOVED);
 }
@@ -203,8 +205,8 @@
     const WPKind *kind = wp_policy_kind(e->policy, r->kind);
     Wp__SessionClaim *claim = NULL;
     g_clear_pointer(&r->version, g_free);
-    g_clear_pointer(&r->escalate, g_free);
-    g_clear_pointer(&r->token, g_free);
+    g_clear_pointer(&r->escalation_version, g_free);
+    g_clear_pointer(&r->new_session_token, g_free);
     if (!ws || !kind)
         return WP_NO_VERSION;
     WPCode code = find_allowed(e, r, ws, kind);
@@ -217,9 +219,9 @@
     if (!r->version)
         choose_version(e, now, r, kind);
     if (r->version && !r->service)
-        sign_token(e, now, r, claim, r->start_ms);
-    r->ask_rating = r->version && !r->service &&
-                    (r->explored || is_rolling_out(e->policy, r->version));
+        sign_token(e, now, r, claim, r->session_start_ms);
+    r->wants_rating = r->version && !r->service &&
+                      (r->explored || is_rolling_out(e->policy, r->version));
     wp_pb_free(claim);
     return r->version ? WP_OK : WP_NO_VERSION;
 }
@@ -229,9 +231,9 @@
 static WPEndpoint *pick_key_owner(WPEntry *e, WPTime now, const WPRequest *r,
                                   bool *known)
 {
-    const WPMemberRow *row =
-        wp_once_keeper(wp_node_members(e->node), r->version, r->once_key,
-                       (uint64_t)now.wall_ms, e->once_settle_ms);
+    const WPMemberRow *row = wp_idempotency_owner(
+        wp_node_members(e->node), r->version, r->idempotency_key,
+        (uint64_t)now.wall_ms, e->once_settle_ms);
     WPEndpoint *p = row ? wp_entry_endpoint(e, row->m->id) : NULL;
     *known = row != NULL;
     return p && !p->draining ? p : NULL;
@@ -241,10 +243,10 @@
                                  const WPPool *pool)
 {
     WPPickQuery pick = {
-        .local = (WPEndpoint *const *)pool->near->pdata,
-        .n_local = pool->near->len,
-        .remote = (WPEndpoint *const *)pool->far->pdata,
-        .n_remote = pool->far->len,
+        .local = (WPEndpoint *const *)pool->local->pdata,
+        .n_local = pool->local->len,
+        .remote = (WPEndpoint *const *)pool->remote->pdata,
+        .n_remote = pool->remote->len,
         .affinity = r->affinity,
         .now_us = now.mono_us,
     };
@@ -253,30 +255,31 @@
     return e->balancer->ops->pick(e->balancer, &pick);
 }
 
-WPStep wp_plan(WPEntry *e, WPTime now, WPRequest *r)
+WPEntryAction wp_plan_attempt(WPEntry *e, WPTime now, WPRequest *r)
 {
     const WPVersion *v = wp_policy_version(e->policy, r->version);
     WPEndpoint *p = NULL;
     bool has_owner = false;
-    if (v && r->once_key && !r->repeatable)
+    if (v && r->idempotency_key && !r->repeatable)
         p = pick_key_owner(e, now, r, &has_owner);
     else if (v && v->index < e->n_pools)
         p = pick_balanced(e, now, r, &e->pools[v->index]);
-    if (!p && has_owner && wp_may_wait_for_keeper(r, now))
-        return wp_later();
+    if (!p && has_owner && wp_may_wait_for_key_owner(r, now))
+        return wp_entry_retry_later();
     if (!p)
-        return r->n_tried ? wp_final(r->last_refusal, r->last_retry_ms)
-                          : wp_final(WP_NO_ENDPOINT, WP_NO_ENDPOINT_RETRY_MS);
+        return r->n_tried
+                   ? wp_entry_fail(r->last_refusal, r->last_retry_ms)
+                   : wp_entry_fail(WP_NO_ENDPOINT, WP_NO_ENDPOINT_RETRY_MS);
     r->endpoint = p;
     r->tried[r->n_tried++] = p;
-    r->leg++;
+    r->attempt++;
     r->sent = true;
     r->accepted = false;
     r->answered = false;
     r->sent_us = now.mono_us;
-    r->foretold = wp_balancer_predict(p, now.mono_us);
+    r->predicted_wait = wp_balancer_predict(p, now.mono_us);
     wp_endpoint_sent(p, now.mono_us);
     wp_events_add(wp_node_events(e->node), now, WP_EVENT_CHOSEN, r->id,
-                  "%s at %s leg %u", r->version, p->id, r->leg);
-    return (WPStep){ WP_STEP_SEND, WP_OK, 0, p };
+                  "%s at %s leg %u", r->version, p->id, r->attempt);
+    return (WPEntryAction){ WP_ENTRY_SEND, WP_OK, 0, p };
 }
--- /dev/null
+++ b/src/wp_retry_budget.h
@@ -0,0 +1,39 @@
+/* A budget for retries, that is second and later attempts, so that they cannot
+ * multiply a burst of requests: a share of the requests in a sliding window.
+ * The bound holds for all boxes together; each box keeps to its own part of it
+ * without communication. */
+#ifndef WP_RETRY_BUDGET_H
+#define WP_RETRY_BUDGET_H
+
+#include "wp_base.h"
+
+enum { WP_RETRY_BUDGET_SLICES = 20 }; /* slices in a window */
+
+typedef struct WPRetryBudgetRules {
+    double ratio; /* retries for each request of a window */
+    double slack; /* retries a window on top, for all boxes together */
+    uint32_t window_ms;
+} WPRetryBudgetRules;
+
+typedef struct WPRetryBudget {
+    int64_t slice; /* index of the newest slice */
+    uint32_t requests[WP_RETRY_BUDGET_SLICES], retries[WP_RETRY_BUDGET_SLICES];
+} WPRetryBudget;
+
+/* What a retry is for; escalations leave some of the budget for failures. */
+typedef enum WPRetryPurpose {
+    WP_RETRY_FOR_FAILURE,   /* the request would fail without it */
+    WP_RETRY_FOR_ESCALATION /* to get a better answer than the one received */
+} WPRetryPurpose;
+
+/* Counts a new request in the window. */
+void wp_retry_budget_count_request(WPRetryBudget *b,
+                                   const WPRetryBudgetRules *r, WPTime now);
+
+/* Takes one retry from this box's part of the budget; returns false, and takes
+   nothing, if too little is left for that purpose. `boxes`: how many share the
+   slack. */
+bool wp_retry_budget_take(WPRetryBudget *b, const WPRetryBudgetRules *r,
+                          WPTime now, unsigned boxes, WPRetryPurpose purpose);
+
+#endif
--- a/src/wp_session.c
+++ b/src/wp_session.c
@@ -1,10 +1,10 @@
-/* Session tokens and the placing of sessions. */
+/* Session tokens, and the versions of sessions. */
 #include "wp_session.h"
 #include "wp_pb.h"
 
 #define MAC_BYTES 32
 
-/* Base64 with the URL alphabet and no padding, over GLib's. */
+/* URL-safe base64 without padding, made from GLib's base64. */
 static char *encode(const guint8 *data, size_t n)
 {
     char *s = g_base64_encode(data, n);
@@ -38,7 +38,8 @@
     g_hmac_unref(h);
 }
 
-/* Takes the same time wherever the first difference lies. */
+/* Compares in constant time, so that timing does not reveal the first
+   difference. */
 static bool same_mac(const guint8 *a, const guint8 *b)
 {
     guint8 diff = 0;
@@ -106,7 +107,7 @@
     return WP_BAD_TOKEN;
 }
 
-/* The share in force at `at_ms`. */
+/* The roll-out's share that was in force at `at_ms`. */
 static double share_at(const Wp__Rollout *r, uint64_t at_ms)
 {
     double share = 0;
@@ -130,10 +131,11 @@
     }
 }
 
-/* Same successor on every box: the highest rendezvous score of what is left
-   among versions that meet the kind's target by the operators' word. */
-static int hash_pick(const WPPolicy *p, const WPKind *kind,
-                     const WPVersionSet *set, uint64_t key)
+/* The version in `set` with the highest rendezvous score for `key`, the same at
+   every box; -1: the set is empty. Versions whose quality_prior, which
+   operators configure, meets the kind's target come before the others. */
+static int pick_by_hash(const WPPolicy *p, const WPKind *kind,
+                        const WPVersionSet *set, uint64_t key)
 {
     int best = -1;
     double best_score = -1;
@@ -152,10 +154,11 @@
     return best;
 }
 
-/* Leaves out what was added after the session began; without a known start,
-   all but the oldest, so that nothing added later can move the session. */
-static WPVersionSet known_at(const WPPolicy *p, const WPVersionSet *set,
-                             uint64_t start_ms)
+/* The versions of `set` that were added before the session began. If there are
+   none, or the start is not known (0), the oldest ones, so that a version which
+   is added later cannot move the session. */
+static WPVersionSet added_before(const WPPolicy *p, const WPVersionSet *set,
+                                 uint64_t start_ms)
 {
     WPVersionSet out = { 0 };
     uint64_t bound = start_ms;
@@ -176,29 +179,29 @@
     return out;
 }
 
-/* Of what is allowed now, what was allowed when the session began; all of it
-   when nothing of that is left. */
+/* The versions that are allowed now and were allowed when the session began; if
+   there are none, all that are allowed now. */
 static WPVersionSet allowed_then(const WPPolicy *p, const WPKind *kind,
                                  const WPVersionSet *allowed,
-                                 const WPSessionAsk *ask, uint64_t start_ms)
+                                 const WPSessionQuery *query, uint64_t start_ms)
 {
     WPVersionSet then;
-    wp_policy_allowed_as_of(p, ask->workspace, kind, ask->labels, start_ms,
+    wp_policy_allowed_as_of(p, query->workspace, kind, query->labels, start_ms,
                             &then);
     for (unsigned w = 0; w < WP_VERSION_SET_WORDS; w++)
         then.w[w] &= allowed->w[w];
     return wp_version_set_empty(&then) ? *allowed : then;
 }
 
-/* The cheapest that meets the target by the operators' word; ties and a set
-   with none that meets it go by hash. */
-static int place_by_id(const WPPolicy *p, const WPKind *kind,
-                       const WPVersionSet *allowed, const WPSessionAsk *ask,
-                       uint64_t start_ms)
+/* The cheapest version whose quality_prior meets the target. Between equally
+   cheap ones, or if none meets it, the hash of the id decides. */
+static int version_by_id(const WPPolicy *p, const WPKind *kind,
+                         const WPVersionSet *allowed,
+                         const WPSessionQuery *query, uint64_t start_ms)
 {
-    WPStr id = ask->id;
-    WPVersionSet then = allowed_then(p, kind, allowed, ask, start_ms);
-    WPVersionSet set = known_at(p, &then, start_ms);
+    WPStr id = query->id;
+    WPVersionSet then = allowed_then(p, kind, allowed, query, start_ms);
+    WPVersionSet set = added_before(p, &then, start_ms);
     WPVersionSet cheap = { 0 };
     double best = G_MAXDOUBLE;
     wp_rollout_narrow(p, id, start_ms, &set);
@@ -214,19 +217,19 @@
             wp_version_set_add(&cheap, i);
         }
     }
-    return hash_pick(p, kind, wp_version_set_empty(&cheap) ? &set : &cheap,
-                     wp_hash(id, 0));
+    return pick_by_hash(p, kind, wp_version_set_empty(&cheap) ? &set : &cheap,
+                        wp_hash(id, 0));
 }
 
-static WPSessionPlace place_by_claim(const WPPolicy *p, const WPKind *kind,
-                                     const WPVersionSet *allowed,
-                                     const Wp__SessionClaim *c)
+static WPSessionPlacement place_by_claim(const WPPolicy *p, const WPKind *kind,
+                                         const WPVersionSet *allowed,
+                                         const Wp__SessionClaim *c)
 {
-    WPSessionPlace out = { -1, false, c->start_ms };
+    WPSessionPlacement out = { -1, false, c->start_ms };
     WPStr nonce = wp_strn((const char *)c->nonce.data, c->nonce.len);
     const WPVersion *v = wp_policy_version(p, c->version);
-    /* A version that was withdrawn since the session began is not returned
-       to when it comes back. */
+    /* If the version was withdrawn after the session began, the session does
+       not return to it when it serves again. */
     if (v && wp_version_set_has(allowed, v->index) &&
         v->spec->withdrawn_ms <= c->start_ms) {
         out.version = (int)v->index;
@@ -237,28 +240,28 @@
         wp_version_set_remove(&rest, v->index);
     wp_rollout_narrow(p, nonce, c->start_ms, &rest);
     out.moved = true;
-    out.version = hash_pick(p, kind, &rest, wp_hash(nonce, 0));
+    out.version = pick_by_hash(p, kind, &rest, wp_hash(nonce, 0));
     return out;
 }
 
-WPSessionPlace wp_session_place(const WPPolicy *p, const WPKind *kind,
-                                const WPVersionSet *allowed,
-                                const WPSessionAsk *ask)
+WPSessionPlacement wp_session_place(const WPPolicy *p, const WPKind *kind,
+                                    const WPVersionSet *allowed,
+                                    const WPSessionQuery *query)
 {
-    WPSessionPlace out = { -1, false, ask->now_ms };
-    if (ask->claim) {
-        out = place_by_claim(p, kind, allowed, ask->claim);
-        /* Its next token begins now, after the withdrawal that moved it. */
+    WPSessionPlacement out = { -1, false, query->now_ms };
+    if (query->claim) {
+        out = place_by_claim(p, kind, allowed, query->claim);
+        /* Its next token's start is now, after the withdrawal that moved it. */
         if (out.moved)
-            out.start_ms = ask->now_ms;
+            out.start_ms = query->now_ms;
         return out;
     }
-    if (!ask->id.n)
+    if (!query->id.n)
         return out;
-    uint64_t start = wp_uuid7_ms(ask->id);
-    if (start > ask->now_ms + WP_SESSION_SKEW_MS)
+    uint64_t start = wp_uuid7_ms(query->id);
+    if (start > query->now_ms + WP_SESSION_SKEW_MS)
         start = 0;
-    out.version = place_by_id(p, kind, allowed, ask, start);
-    out.start_ms = start ? start : ask->now_ms;
+    out.version = version_by_id(p, kind, allowed, query, start);
+    out.start_ms = start ? start : query->now_ms;
     return out;
 }
--- a/src/wp_usage.h
+++ b/src/wp_usage.h
@@ -1,10 +1,10 @@
-/* Usage: the requests of each workspace that began to run at endpoints, by
- * windows of the time of day. Each process counts its own; boxes tell each
- * other their counts, so that any of those that pass news on can report the
- * sum, and what a process has counted outlasts it.
+/* Usage: the requests of each workspace that began to run at endpoints, counted
+ * by windows of the time of day. Each process counts its own; boxes send each
+ * other their counts, so that any box that receives those of the others can
+ * report the sum, and the counts of a process survive its end.
  *
- * A count only grows, and the highest that was told holds: news may be lost,
- * repeated and late. */
+ * A count only grows, and the highest value received is kept, so updates may be
+ * lost, repeated or late. */
 #ifndef WP_USAGE_H
 #define WP_USAGE_H
 
@@ -12,56 +12,63 @@
 
 typedef struct WPUsage WPUsage;
 
-/* `life` names this run of the process; counts are kept for `keep_ms` after
-   their window's end. */
-WPUsage *wp_usage_new(uint64_t life, uint32_t window_ms, uint32_t keep_ms);
+/* `incarnation`: a number of this run of the process, different from all
+   others'. Counts are kept for `keep_ms` after the end of their window. */
+WPUsage *wp_usage_new(uint64_t incarnation, uint32_t window_ms,
+                      uint32_t keep_ms);
 void wp_usage_free(WPUsage *u);
 
-/* Windows are of one clock: the time of day when the process started, carried
-   on by the monotonic clock, and set by the median of what other boxes tell of
-   theirs. Guards against machines whose time of day jumps. */
+/* Windows are by the usage clock: the time of day when the process started,
+   advanced by the monotonic clock and corrected by the median of the other
+   boxes' clocks. Guards against machines whose time of day jumps. The clock is
+   in Unix ms; `mono_us` is of the monotonic clock. */
 void wp_usage_start_clock(WPUsage *u, WPTime now);
 int64_t wp_usage_clock_ms(const WPUsage *u, int64_t mono_us);
 
-/* What others are told: without that median. */
-int64_t wp_usage_own_clock_ms(const WPUsage *u, int64_t mono_us);
-void wp_usage_hear_clock(WPUsage *u, WPTime now, uint64_t box,
-                         int64_t clock_ms);
+/* The same without that correction, as it is sent to the other boxes. */
+int64_t wp_usage_local_clock_ms(const WPUsage *u, int64_t mono_us);
 
+/* Takes in the clock that another box has just sent; `box`: hash of its id. */
+void wp_usage_observe_clock(WPUsage *u, WPTime now, uint64_t box,
+                            int64_t clock_ms);
+
+/* The window of this time of the usage clock. */
 uint64_t wp_usage_window(const WPUsage *u, int64_t clock_ms);
 
-/* A request of the workspace began to run at an endpoint. */
-void wp_usage_note(WPUsage *u, int64_t mono_us, const char *workspace);
+/* Counts a request of the workspace that began to run at an endpoint. */
+void wp_usage_count_request(WPUsage *u, int64_t mono_us, const char *workspace);
 
-/* A count as boxes tell it. */
+/* A count as boxes send it. */
 typedef struct WPUsageCount {
-    uint64_t life, window;
+    uint64_t incarnation, window;
     const char *workspace;
     uint32_t count;
-    bool far; /* comes from another zone */
+    bool remote_zone; /* it comes from another zone */
 } WPUsageCount;
 
 typedef void (*WPUsageFn)(void *arg, const WPUsageCount *c);
 
-/* Takes what another box tells; returns whether it is new. */
-bool wp_usage_hear(WPUsage *u, const WPUsageCount *c);
+/* Merges a count of another box; returns whether that changed anything. */
+bool wp_usage_merge(WPUsage *u, const WPUsageCount *c);
 
-/* Calls `fn` for each count that was not told since it last grew; all count as
-   told. In the order of rows. */
-void wp_usage_tell(WPUsage *u, WPUsageFn fn, void *arg);
-bool wp_usage_any_untold(const WPUsage *u);
+/* Calls `fn` for each count that was not sent since it last grew, and marks all
+   as sent. Counts of a window and process follow each other. */
+void wp_usage_take_unsent(WPUsage *u, WPUsageFn fn, void *arg);
+bool wp_usage_has_unsent(const WPUsage *u);
 
-/* All is to be told again, as whom it was told may be gone. */
-void wp_usage_tell_all(WPUsage *u);
+/* Marks all counts as not sent, as the box that has received them may be
+   gone. */
+void wp_usage_mark_all_unsent(WPUsage *u);
 
-/* A window's sums by workspace, by name; lives during the call. */
+/* Calls `fn` with the sum of each workspace in a window, sorted by name; the
+   other fields are not set. */
 void wp_usage_each_sum(const WPUsage *u, uint64_t window, WPUsageFn fn,
                        void *arg);
 
-/* Forgets windows that are over for long. */
+/* Removes windows that ended more than `keep_ms` ago. */
 void wp_usage_tick(WPUsage *u, WPTime now);
 
-/* Rows that are kept: of processes and windows. */
+/* How many rows are kept: one for each process and window. */
 unsigned wp_usage_rows(const WPUsage *u);
 
 #endif
--- a/tests/direct_fake.h
+++ b/tests/direct_fake.h
@@ -69,8 +69,8 @@
 {
     GError *error = NULL;
     WPDirectRules rules = { .zone = "z1",
-                            .retries = { 0.5, 20, 10000 },
-                            .session_ms = 5000,
+                            .retry_budget = { 0.5, 20, 10000 },
+                            .session_idle_ms = 5000,
                             .cascade = { .confidence_even = 50,
                                          .confidence_spread = 10,
                                          .answer_value = 0.35,
@@ -87,7 +87,7 @@
     if (!k->chart)
         fail_msg("%s", error->message);
     wp_direct_init(&k->d, &rules, k->chart, 7);
-    wp_direct_routes(&k->d, fake_routes(1));
+    wp_direct_set_routes(&k->d, fake_routes(1));
     fake_put(k, "l1", "llm", "v1", false);
     fake_put(k, "l2", "llm", "v1", false);
     fake_put(k, "a1", "app", "v1", false);
@@ -115,41 +115,41 @@
 /* Begins a request for `path` in the session, which may be NULL. `*m` gets what
    is to be done first. */
 static inline WPFlow *fake_ask(Fake *k, const char *path, const char *session,
-                               WPMove *m)
+                               WPFlowAction *m)
 {
     g_autofree char *id = g_strdup_printf("r%u", ++k->requests);
-    WPDirectAsk ask = { .id = wp_str(id),
-                        .host = wp_str("h.example"),
-                        .path = wp_str(path),
-                        .key = wp_str("key-1"),
-                        .session = wp_str(session),
-                        .prompt = { .tokens = 1000 },
-                        .answer_tokens = 300,
-                        .deadline_ms = 10000 };
+    WPDirectRequest ask = { .id = wp_str(id),
+                            .host = wp_str("h.example"),
+                            .path = wp_str(path),
+                            .key = wp_str("key-1"),
+                            .session = wp_str(session),
+                            .prompt = { .tokens = 1000 },
+                            .answer_tokens = 300,
+                            .deadline_ms = 10000 };
     return wp_flow_begin(&k->d, k->now, &ask, m);
 }
 
 static inline WPDirectAnswer fake_answer(int status, int confidence)
 {
     return (WPDirectAnswer){ .status = status,
-                             .genuine = true,
+                             .has_seal = true,
                              .confidence = confidence };
 }
 
 /* Begins a request for `path` and, if it is sent to an endpoint, ends it with a
    good answer. Returns the endpoint's id, or the error code if the request is
    refused. */
-static inline const char *fake_serve(Fake *k, const char *path, WPMove *m)
+static inline const char *fake_serve(Fake *k, const char *path, WPFlowAction *m)
 {
     WPDirectAnswer a = fake_answer(200, 90);
     WPFlow *f = fake_ask(k, path, NULL, m);
     const char *result = "";
-    if (m->kind == WP_MOVE_FAIL) {
+    if (m->kind == WP_FLOW_FAIL) {
         result = wp_code_info(m->code)->code;
     } else {
         result = g_intern_string(m->replica->id);
-        wp_flow_answer(f, k->now, &a, &(WPMove){ 0 });
-        wp_flow_done(f, k->now, 0);
+        wp_flow_on_answer(f, k->now, &a, &(WPFlowAction){ 0 });
+        wp_flow_on_done(f, k->now, 0);
     }
     wp_flow_free(f);
     return result;
--- a/tests/duty_play.c
+++ b/tests/duty_play.c
@@ -1,6 +1,6 @@
 /* The duty of reporting usage among some boxes, in virtual time. */
 #include "duty_play.h"
-#include "wp_duty.h"
+#include "wp_report_lease.h"
 #include "wp_pb.h"
 
 enum {
@@ -33,7 +33,7 @@
 
 typedef struct Box {
     WPUsage *usage;
-    WPDuty *duty;
+    WPReportLease *duty;
     unsigned run;      /* of its process */
     int64_t away_ms;   /* until then the process is gone */
     int64_t frozen_ms; /* until then it stands still */
@@ -114,19 +114,19 @@
 static void start_box(World *w, unsigned i)
 {
     Box *b = &w->boxes[i];
-    wp_duty_free(b->duty);
+    wp_report_lease_free(b->duty);
     wp_usage_free(b->usage);
     b->run++;
     b->known = 0;
     b->usage = wp_usage_new((uint64_t)b->run << 8 | i, WINDOW_MS, KEEP_MS);
     wp_usage_start_clock(b->usage, time_of(w, b));
-    const WPDutyRules rules = { .box = ids[i],
-                                .window_ms = WINDOW_MS,
-                                .late_ms = LATE_MS,
-                                .lease_ms = LEASE_MS,
-                                .haste = (double)i / BOXES,
-                                .unsettled = w->play->unsettled };
-    b->duty = wp_duty_new(&rules, b->usage, time_of(w, b));
+    const WPReportLeaseRules rules = { .box = ids[i],
+                                       .window_ms = WINDOW_MS,
+                                       .report_deadline_ms = LATE_MS,
+                                       .lease_ms = LEASE_MS,
+                                       .jitter = (double)i / BOXES,
+                                       .send_unsettled = w->play->unsettled };
+    b->duty = wp_report_lease_new(&rules, b->usage, time_of(w, b));
 }
 
 static bool runs(const World *w, const Box *b)
@@ -266,9 +266,9 @@
     else if (c->kind == CALL_SEND)
         service_send(w, c);
     else if (mine && c->kind == CALL_TXN_DONE)
-        wp_duty_written(b->duty, time_of(w, b), c->ok, c->revision);
+        wp_report_lease_written(b->duty, time_of(w, b), c->ok, c->revision);
     else if (mine)
-        wp_duty_sent(b->duty, time_of(w, b), c->ok);
+        wp_report_lease_sent(b->duty, time_of(w, b), c->ok);
 }
 
 /* Calls on their way arrive whatever becomes of their sender; answers wait for
@@ -299,25 +299,26 @@
         if (v->at_ms + STORE_MS > w->now_ms)
             return;
         b->known++;
-        wp_duty_record(b->duty, time_of(w, b), b->known, v->record, false);
+        wp_report_lease_observe(b->duty, time_of(w, b), b->known, v->record,
+                                false);
     }
 }
 
 static void act(World *w, unsigned i)
 {
     Box *b = &w->boxes[i];
-    WPDutyAct a;
+    WPReportAction a;
     bool late = w->now_ms < w->store_lost_ms && g_rand_boolean(w->rand);
-    wp_duty_next(b->duty, time_of(w, b),
-                 w->now_ms < b->stops_ms || w->now_ms < b->yields_ms
-                     ? WP_DUTY_YIELDS
-                     : WP_DUTY_MAY,
-                 &a);
-    if (a.kind == WP_DUTY_WRITE) {
+    wp_report_lease_next(b->duty, time_of(w, b),
+                         w->now_ms < b->stops_ms || w->now_ms < b->yields_ms
+                             ? WP_REPORT_YIELD
+                             : WP_REPORT_ELIGIBLE,
+                         &a);
+    if (a.kind == WP_REPORT_WRITE) {
         Call *c = call(w, CALL_TXN, i, late ? 2000 : 1);
         c->record = wp_pb_copy(&a.record->base);
         c->revision = a.revision;
-    } else if (a.kind == WP_DUTY_SEND) {
+    } else if (a.kind == WP_REPORT_SEND) {
         Call *c = call(w, CALL_SEND, i, w->now_ms < w->slow_ms ? 300 : 1);
         c->report = wp_pb_copy(&a.report->base);
         c->fence = a.fence;
@@ -333,7 +334,7 @@
         Box *b = &w->boxes[i];
         if (g_rand_double(w->rand) > n || !runs(w, b))
             continue;
-        wp_usage_note(b->usage, time_of(w, b).mono_us, names[k]);
+        wp_usage_count_request(b->usage, time_of(w, b).mono_us, names[k]);
         w->began[w->now_ms / WINDOW_MS][k]++;
     }
 }
@@ -343,7 +344,7 @@
     World *w = arg;
     for (unsigned i = 0; i < BOXES; i++)
         if (w->now_ms >= w->boxes[i].away_ms && w->now_ms >= w->boxes[i].cut_ms)
-            wp_usage_hear(w->boxes[i].usage, c);
+            wp_usage_merge(w->boxes[i].usage, c);
 }
 
 /* Counts, and times of day, of a box to all others. */
@@ -352,18 +353,18 @@
     Box *b = &w->boxes[from];
     if (w->now_ms < b->cut_ms)
         return;
-    wp_usage_tell(b->usage, hear, w);
+    wp_usage_take_unsent(b->usage, hear, w);
     for (unsigned i = 0; i < BOXES; i++)
         if (i != from)
-            wp_usage_hear_clock(
+            wp_usage_observe_clock(
                 w->boxes[i].usage, time_of(w, &w->boxes[i]), from,
-                wp_usage_own_clock_ms(b->usage, time_of(w, b).mono_us));
+                wp_usage_local_clock_ms(b->usage, time_of(w, b).mono_us));
 }
 
 static unsigned holder_of(const World *w)
 {
     for (unsigned i = 0; i < BOXES; i++)
-        if (wp_duty_is_mine(w->boxes[i].duty))
+        if (wp_report_lease_is_held(w->boxes[i].duty))
             return i;
     return 0;
 }
@@ -508,7 +509,7 @@
     }
     sum_up(&w);
     for (unsigned i = 0; i < BOXES; i++) {
-        wp_duty_free(w.boxes[i].duty);
+        wp_report_lease_free(w.boxes[i].duty);
         wp_usage_free(w.boxes[i].usage);
     }
     for (unsigned k = 0; k < WINDOWS; k++)
--- a/tests/entry_fake.h
+++ b/tests/entry_fake.h
@@ -92,12 +92,13 @@
     g_free(f);
 }
 
-static inline WPRequest *fake_ask(Fake *f, const char *kind, WPStep *step)
+static inline WPRequest *fake_ask(Fake *f, const char *kind,
+                                  WPEntryAction *step)
 {
     WPPolicy *p = wp_entry_policy(f->entry);
-    WPAsk ask = { .workspace = wp_policy_workspace(p, "w"),
-                  .kind = wp_policy_kind(p, kind),
-                  .answer_tokens = 100 };
+    WPRequestParams ask = { .workspace = wp_policy_workspace(p, "w"),
+                            .kind = wp_policy_kind(p, kind),
+                            .answer_tokens = 100 };
     return wp_entry_begin(f->entry, f->now, &ask, step);
 }
 
--- a/tests/shift_fake.h
+++ b/tests/shift_fake.h
@@ -57,13 +57,13 @@
    endpoint. */
 static inline const char *serving_version(Fake *k, const char *session)
 {
-    WPMove m;
+    WPFlowAction m;
     WPDirectAnswer a = fake_answer(200, 90);
     WPFlow *f = fake_ask(k, "/chat/x", session, &m);
-    assert_int_equal(m.kind, WP_MOVE_SEND);
+    assert_int_equal(m.kind, WP_FLOW_SEND);
     const char *version = g_intern_string(m.replica->version);
-    wp_flow_answer(f, k->now, &a, &m);
-    wp_flow_done(f, k->now, 0);
+    wp_flow_on_answer(f, k->now, &a, &m);
+    wp_flow_on_done(f, k->now, 0);
     wp_flow_free(f);
     return version;
 }
--- a/tests/test_areas.c
+++ b/tests/test_areas.c
@@ -31,7 +31,7 @@
     WPCaller *c = g_ptr_array_index(t->callers, 0);
     if (caller)
         g_ptr_array_add(c->areas, g_strdup(caller));
-    wp_direct_routes(&k->d, t);
+    wp_direct_set_routes(&k->d, t);
     wp_fleet_set_area(k->d.fleet, "z1", "north");
     wp_fleet_set_area(k->d.fleet, "z2", "south");
     put(k, "north-llm", "llm", "z1");
@@ -40,9 +40,9 @@
     put(k, "south-app", "app", "z2");
 }
 
-static void assert_sent(const WPMove *m, const char *id)
+static void assert_sent(const WPFlowAction *m, const char *id)
 {
-    assert_int_equal(m->kind, WP_MOVE_SEND);
+    assert_int_equal(m->kind, WP_FLOW_SEND);
     assert_string_equal(m->replica->id, id);
 }
 
@@ -50,7 +50,7 @@
 {
     (void)state;
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     init(&k, "south", NULL);
     assert_string_equal(fake_serve(&k, "/once/x", &m), "south-app");
     assert_string_equal(fake_serve(&k, "/chat/x", &m), "south-llm");
@@ -68,17 +68,17 @@
 {
     (void)state;
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     init(&k, "south", NULL);
     WPFlow *f = fake_ask(&k, "/chat/x", NULL, &m);
     assert_sent(&m, "south-llm");
-    wp_flow_lost(f, k.now, WP_LOSS_SILENT, &m);
+    wp_flow_on_lost(f, k.now, WP_LOSS_NO_ANSWER, &m);
     assert_sent(&m, "south-llm");
     WPDirectAnswer a = fake_answer(200, 99);
-    wp_flow_answer(f, k.now, &a, &m);
-    assert_int_equal(m.kind, WP_MOVE_PASS);
-    wp_flow_lost(f, k.now, WP_LOSS_BROKEN, &m);
-    if (m.kind == WP_MOVE_SEND)
+    wp_flow_on_answer(f, k.now, &a, &m);
+    assert_int_equal(m.kind, WP_FLOW_FORWARD);
+    wp_flow_on_lost(f, k.now, WP_LOSS_BROKEN, &m);
+    if (m.kind == WP_FLOW_SEND)
         assert_sent(&m, "south-llm");
     wp_flow_free(f);
     fake_end(&k);
@@ -88,16 +88,16 @@
 {
     (void)state;
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     init(&k, NULL, "south");
     WPFlow *f = fake_ask(&k, "/chat/x", NULL, &m);
     assert_sent(&m, "south-llm");
     WPDirectAnswer a = fake_answer(200, 0);
     k.now.mono_us += 1000;
-    wp_flow_answer(f, k.now, &a, &m);
-    assert_int_equal(m.why, WP_WHY_BETTER);
+    wp_flow_on_answer(f, k.now, &a, &m);
+    assert_int_equal(m.reason, WP_ATTEMPT_ESCALATE);
     assert_sent(&m, "south-llm");
-    wp_flow_left(f, k.now);
+    wp_flow_on_caller_gone(f, k.now);
     wp_flow_free(f);
     fake_end(&k);
 }
@@ -116,8 +116,8 @@
                           .zone = "z1",
                           .prompt = &p,
                           .model = 1,
-                          .ttfb =
-                              wp_direct_speed(&k.d, "llm", wp_str("small")) };
+                          .ttfb = wp_direct_ttfb_model(&k.d, "llm",
+                                                       wp_str("small")) };
     WPReplica *north = wp_fleet_find(k.d.fleet, "north-llm");
     WPReplica *south = wp_fleet_find(k.d.fleet, "south-llm");
     const WPReplica *source;
@@ -144,7 +144,7 @@
 {
     (void)state;
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     init(&k, "west", NULL);
     assert_string_equal(fake_serve(&k, "/safe/x", &m), "no_endpoint_in_area");
     assert_true(m.retry_ms > 0);
@@ -159,7 +159,7 @@
 {
     (void)state;
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     init(&k, "south", NULL);
     wp_fleet_remove(k.d.fleet, k.now, "south-app", false);
     put(&k, "far-app", "app", "z9");
--- a/tests/test_bill.c
+++ b/tests/test_bill.c
@@ -29,19 +29,20 @@
     Wp__Bill one = bill("r1", 1, 0, true);
     (void)state;
     assert_int_equal(wp_bills_add(b, at(0), &one), 1);
-    assert_null(wp_bills_due(b, at(50), false));
-    const WPBillBatch *batch = wp_bills_due(b, at(100), false);
+    assert_null(wp_bills_next_batch(b, at(50), false));
+    const WPBillBatch *batch = wp_bills_next_batch(b, at(100), false);
     assert_non_null(batch);
     g_autofree char *key = g_strdup(batch->key);
     g_autoptr(GByteArray) value = g_byte_array_ref(batch->value);
-    assert_null(wp_bills_due(b, at(100), false)); /* one at a time */
-    wp_bills_written(b, at(110), WP_BILL_FAILED, NULL, 0);
+    assert_null(wp_bills_next_batch(b, at(100), false)); /* one at a time */
+    wp_bills_batch_written(b, at(110), WP_BILL_FAILED, NULL, 0);
     assert_int_equal(wp_bills_settled(b), 0);
-    assert_null(wp_bills_due(b, at(120), false));
-    batch = wp_bills_due(b, at(10000), false);
+    assert_null(wp_bills_next_batch(b, at(120), false));
+    batch = wp_bills_next_batch(b, at(10000), false);
     assert_string_equal(batch->key, key);
     assert_memory_equal(batch->value->data, value->data, value->len);
-    wp_bills_written(b, at(10010), WP_BILL_EXISTS, value->data, value->len);
+    wp_bills_batch_written(b, at(10010), WP_BILL_EXISTS, value->data,
+                           value->len);
     assert_int_equal(wp_bills_settled(b), 1);
     assert_int_equal(wp_bills_pending(b), 0);
     wp_bills_free(b);
@@ -54,12 +55,12 @@
     Wp__Bill one = bill("r1", 1, 0, true);
     (void)state;
     wp_bills_add(b, at(0), &one);
-    const WPBillBatch *batch = wp_bills_due(b, at(100), false);
+    const WPBillBatch *batch = wp_bills_next_batch(b, at(100), false);
     g_autofree char *key = g_strdup(batch->key);
-    wp_bills_written(b, at(110), WP_BILL_EXISTS, (const uint8_t *)"x", 1);
-    batch = wp_bills_due(b, at(10000), false);
+    wp_bills_batch_written(b, at(110), WP_BILL_EXISTS, (const uint8_t *)"x", 1);
+    batch = wp_bills_next_batch(b, at(10000), false);
     assert_string_not_equal(batch->key, key);
-    wp_bills_written(b, at(10010), WP_BILL_CREATED, NULL, 0);
+    wp_bills_batch_written(b, at(10010), WP_BILL_CREATED, NULL, 0);
     assert_int_equal(wp_bills_settled(b), 1);
     wp_bills_free(b);
 }
@@ -85,8 +86,8 @@
     (void)state;
     wp_bills_set_writers(b, 10000);
     wp_bills_add(b, at(0), &one);
-    assert_null(wp_bills_due(b, at(199999), false));
-    assert_non_null(wp_bills_due(b, at(200000), false));
+    assert_null(wp_bills_next_batch(b, at(199999), false));
+    assert_non_null(wp_bills_next_batch(b, at(200000), false));
     wp_bills_free(b);
 }
 
@@ -99,7 +100,7 @@
     Seen *s = arg;
     s->charges++;
     s->whole += c->bill->whole;
-    s->seen += c->seen;
+    s->seen += c->occurrences;
 }
 
 static void a_request_is_charged_once(void **state)
--- a/tests/test_budget.c
+++ b/tests/test_budget.c
@@ -1,11 +1,11 @@
 /* The budget of second attempts: what it leaves, and that many boxes that keep
  * to their own part keep to the whole. */
 #include "test.h"
-#include "wp_budget.h"
+#include "wp_retry_budget.h"
 
 enum { BOXES = 21, STEP_MS = 10, SPAN_MS = 60000, WINDOW_MS = 10000 };
 
-static const WPBudgetRules rules = { 0.9, 82, WINDOW_MS };
+static const WPRetryBudgetRules rules = { 0.9, 82, WINDOW_MS };
 
 static WPTime at(int64_t ms)
 {
@@ -16,13 +16,13 @@
    better answer; returns how many may be. */
 static unsigned better_of_1000(unsigned per_hundred)
 {
-    WPBudget b = { 0 };
+    WPRetryBudget b = { 0 };
     unsigned taken = 0;
     for (int i = 0; i < 1000; i++) {
-        wp_budget_request(&b, &rules, at(i * 9));
+        wp_retry_budget_count_request(&b, &rules, at(i * 9));
         if ((unsigned)(i * 37 % 100) < per_hundred)
-            taken +=
-                wp_budget_take(&b, &rules, at(i * 9), BOXES, WP_REPEAT_BETTER);
+            taken += wp_retry_budget_take(&b, &rules, at(i * 9), BOXES,
+                                          WP_RETRY_FOR_ESCALATION);
     }
     return taken;
 }
@@ -38,23 +38,23 @@
 
 static void better_answers_leave_room_for_failures(void **state)
 {
-    WPBudget b = { 0 };
+    WPRetryBudget b = { 0 };
     unsigned better = 0, failed = 0;
     (void)state;
     for (int i = 0; i < 1000; i++) {
-        wp_budget_request(&b, &rules, at(i * 9));
-        better +=
-            wp_budget_take(&b, &rules, at(i * 9), BOXES, WP_REPEAT_BETTER);
+        wp_retry_budget_count_request(&b, &rules, at(i * 9));
+        better += wp_retry_budget_take(&b, &rules, at(i * 9), BOXES,
+                                       WP_RETRY_FOR_ESCALATION);
         if (i % 20 == 0)
-            failed +=
-                wp_budget_take(&b, &rules, at(i * 9), BOXES, WP_REPEAT_FAILURE);
+            failed += wp_retry_budget_take(&b, &rules, at(i * 9), BOXES,
+                                           WP_RETRY_FOR_FAILURE);
     }
     assert_int_equal(failed, 50);
     assert_in_range(better, 650, 750);
 }
 
 typedef struct Play {
-    WPBudget boxes[BOXES];
+    WPRetryBudget boxes[BOXES];
     GRand *rand;
     unsigned requests[SPAN_MS / STEP_MS], repeats[SPAN_MS / STEP_MS];
 } Play;
@@ -71,14 +71,14 @@
     unsigned i = (unsigned)(ms / STEP_MS);
     /* A third of the boxes have most of the requests. */
     unsigned n = g_rand_boolean(p->rand) ? BOXES / 3 : BOXES;
-    WPBudget *b = &p->boxes[g_rand_int_range(p->rand, 0, (int)n)];
+    WPRetryBudget *b = &p->boxes[g_rand_int_range(p->rand, 0, (int)n)];
     p->requests[i]++;
-    wp_budget_request(b, &rules, at(ms));
+    wp_retry_budget_count_request(b, &rules, at(ms));
     for (int k = 0; k < 2; k++)
-        p->repeats[i] +=
-            wp_budget_take(b, &rules, at(ms), BOXES,
-                           g_rand_int_range(p->rand, 0, 4) ? WP_REPEAT_BETTER
-                                                           : WP_REPEAT_FAILURE);
+        p->repeats[i] += wp_retry_budget_take(b, &rules, at(ms), BOXES,
+                                              g_rand_int_range(p->rand, 0, 4)
+                                                  ? WP_RETRY_FOR_ESCALATION
+                                                  : WP_RETRY_FOR_FAILURE);
 }
 
 static unsigned sum_before(const unsigned *v, int64_t ms)
--- a/tests/test_canary_judge.c
+++ b/tests/test_canary_judge.c
@@ -116,20 +116,20 @@
    apart. */
 static void serve_stream(Fake *k, const char *version, int gap_ms)
 {
-    WPMove m;
+    WPFlowAction m;
     WPDirectAnswer a = fake_answer(200, 90);
     WPFlow *f = fake_ask(k, "/chat/x", NULL, &m);
     while (strcmp(m.replica->version, version)) {
-        wp_flow_left(f, k->now);
+        wp_flow_on_caller_gone(f, k->now);
         wp_flow_free(f);
         f = fake_ask(k, "/chat/x", NULL, &m);
     }
-    wp_flow_answer(f, k->now, &a, &m);
+    wp_flow_on_answer(f, k->now, &a, &m);
     for (uint64_t i = 2; i <= 10; i++) {
         k->now.mono_us += gap_ms * WP_US_PER_MS;
-        wp_flow_progress(f, k->now, i);
+        wp_flow_on_events(f, k->now, i);
     }
-    wp_flow_done(f, k->now, 10);
+    wp_flow_on_done(f, k->now, 10);
     wp_flow_free(f);
 }
 
@@ -288,7 +288,7 @@
 static void requests_before_the_order_count_for_the_old_version(void **state)
 {
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     WPDirectAnswer a = fake_answer(200, 90);
     (void)state;
     fake_init(&k);
@@ -296,8 +296,8 @@
     wp_fleet_set_load(wp_fleet_find(k.d.fleet, "l2"), k.now, 4, 0, 8);
     WPFlow *f = fake_ask(&k, "/chat/x", NULL, &m);
     WPShift *sh = start_shift(&k);
-    wp_flow_answer(f, k.now, &a, &m);
-    wp_flow_done(f, k.now, 10);
+    wp_flow_on_answer(f, k.now, &a, &m);
+    wp_flow_on_done(f, k.now, 10);
     wp_flow_free(f);
     assert_int_equal(wp_canary_own_sums(&sh->canary).loaded, 0);
     assert_int_equal(wp_canary_own_sums(&sh->canary).answered, 0);
@@ -388,17 +388,17 @@
    `ms`. */
 static void serve_plain(Fake *k, const char *version, int ms)
 {
-    WPMove m;
+    WPFlowAction m;
     WPDirectAnswer a = fake_answer(200, -1);
     WPFlow *f = fake_ask(k, "/safe/x", NULL, &m);
     while (strcmp(m.replica->version, version)) {
-        wp_flow_left(f, k->now);
+        wp_flow_on_caller_gone(f, k->now);
         wp_flow_free(f);
         f = fake_ask(k, "/safe/x", NULL, &m);
     }
     k->now.mono_us += ms * WP_US_PER_MS;
-    wp_flow_answer(f, k->now, &a, &m);
-    wp_flow_done(f, k->now, 0);
+    wp_flow_on_answer(f, k->now, &a, &m);
+    wp_flow_on_done(f, k->now, 0);
     wp_flow_free(f);
 }
 
@@ -441,7 +441,7 @@
 static void first_byte_timeout_counts_as_slow(void **state)
 {
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     (void)state;
     fake_init(&k);
     WPShift *sh = start_plain_shift(&k);
@@ -450,14 +450,14 @@
         serve_plain(&k, "v1", 60);
     WPFlow *f = fake_ask(&k, "/safe/x", NULL, &m);
     while (strcmp(m.replica->version, "v2")) {
-        wp_flow_left(f, k.now);
+        wp_flow_on_caller_gone(f, k.now);
         wp_flow_free(f);
         f = fake_ask(&k, "/safe/x", NULL, &m);
     }
     k.now.mono_us += 400 * WP_US_PER_MS;
-    assert_true(wp_flow_impatient(f, k.now, &m));
+    assert_true(wp_flow_on_first_byte_timeout(f, k.now, &m));
     assert_int_equal(wp_canary_own_sums(&sh->canary).ratio_slow, 1);
-    wp_flow_left(f, k.now);
+    wp_flow_on_caller_gone(f, k.now);
     wp_flow_free(f);
     fake_end(&k);
 }
--- a/tests/test_entry.c
+++ b/tests/test_entry.c
@@ -46,10 +46,10 @@
 static void the_cheapest_that_meets_the_target_answers(void **state)
 {
     Fake *f = with_agents(2);
-    WPStep step;
+    WPEntryAction step;
     (void)state;
     WPRequest *r = fake_ask(f, "tag", &step);
-    assert_int_equal(step.kind, WP_STEP_SEND);
+    assert_int_equal(step.kind, WP_ENTRY_SEND);
     assert_string_equal(r->version, "cheap");
     wp_request_free(r);
     r = fake_ask(f, "plan", &step);
@@ -63,14 +63,14 @@
 static void unknown_then_refused_is_unknown(void **state)
 {
     Fake *f = with_agents(2);
-    WPStep step;
+    WPEntryAction step;
     (void)state;
     WPRequest *r = fake_ask(f, "tag", &step);
-    step = wp_entry_lost(f->entry, f->now, r, true);
-    assert_int_equal(step.kind, WP_STEP_SEND);
+    step = wp_entry_link_lost(f->entry, f->now, r, true);
+    assert_int_equal(step.kind, WP_ENTRY_SEND);
     step = wp_entry_refused(f->entry, f->now, r, WP_OVERLOADED, WP_RAN_NOT_RUN,
                             100);
-    assert_int_equal(step.kind, WP_STEP_FINAL);
+    assert_int_equal(step.kind, WP_ENTRY_FAIL);
     assert_int_equal(wp_code_info(step.code)->ran, WP_RAN_UNKNOWN);
     assert_int_equal(wp_bills_pending(wp_entry_bills(f->entry)), 1);
     wp_request_free(r);
@@ -80,18 +80,18 @@
 static void what_may_not_be_repeated_is_sent_once(void **state)
 {
     Fake *f = with_agents(3);
-    WPStep step;
+    WPEntryAction step;
     (void)state;
     WPRequest *r = fake_ask(f, "ping", &step);
-    assert_int_equal(step.kind, WP_STEP_SEND);
-    step = wp_entry_lost(f->entry, f->now, r, true);
-    assert_int_equal(step.kind, WP_STEP_FINAL);
+    assert_int_equal(step.kind, WP_ENTRY_SEND);
+    step = wp_entry_link_lost(f->entry, f->now, r, true);
+    assert_int_equal(step.kind, WP_ENTRY_FAIL);
     assert_int_equal(step.code, WP_LINK_LOST);
     wp_request_free(r);
     /* Before anything left this box, it was surely not run. */
     r = fake_ask(f, "ping", &step);
-    while (step.kind == WP_STEP_SEND)
-        step = wp_entry_lost(f->entry, f->now, r, false);
+    while (step.kind == WP_ENTRY_SEND)
+        step = wp_entry_link_lost(f->entry, f->now, r, false);
     assert_int_equal(step.code, WP_ENDPOINT_DOWN);
     assert_int_equal(wp_code_info(step.code)->ran, WP_RAN_NOT_RUN);
     wp_request_free(r);
@@ -103,20 +103,20 @@
 static void a_leaving_keeper_is_waited_for(void **state)
 {
     Fake *f = with_agents(1);
-    WPStep step;
+    WPEntryAction step;
     (void)state;
     wp_entry_endpoint(f->entry, "a1")->draining = true;
     WPRequest *r = fake_ask(f, "ping", &step);
-    assert_int_equal(step.kind, WP_STEP_LATER);
+    assert_int_equal(step.kind, WP_ENTRY_RETRY_LATER);
     f->now.mono_us += 4 * WP_US_PER_S;
-    step = wp_entry_again(f->entry, f->now, r);
-    assert_int_equal(step.kind, WP_STEP_FINAL);
+    step = wp_entry_retry(f->entry, f->now, r);
+    assert_int_equal(step.kind, WP_ENTRY_FAIL);
     assert_int_equal(step.code, WP_NO_ENDPOINT);
     wp_request_free(r);
     fake_free(f);
     f = with_agents(0);
     r = fake_ask(f, "ping", &step);
-    assert_int_equal(step.kind, WP_STEP_FINAL);
+    assert_int_equal(step.kind, WP_ENTRY_FAIL);
     wp_request_free(r);
     fake_free(f);
 }
@@ -124,12 +124,12 @@
 static void a_passed_on_answer_is_not_begun_again(void **state)
 {
     Fake *f = with_agents(3);
-    WPStep step;
+    WPEntryAction step;
     (void)state;
     WPRequest *r = fake_ask(f, "tag", &step);
-    r->passed_on = true;
-    step = wp_entry_lost(f->entry, f->now, r, true);
-    assert_int_equal(step.kind, WP_STEP_FINAL);
+    r->answer_started = true;
+    step = wp_entry_link_lost(f->entry, f->now, r, true);
+    assert_int_equal(step.kind, WP_ENTRY_FAIL);
     assert_int_equal(step.code, WP_LINK_LOST);
     wp_request_free(r);
     fake_free(f);
@@ -142,15 +142,15 @@
     unsigned attempts = 0, requests = 2000;
     (void)state;
     for (unsigned i = 0; i < requests; i++) {
-        WPStep step;
+        WPEntryAction step;
         f->now.mono_us += 1000;
         WPRequest *r = fake_ask(f, "tag", &step);
-        while (step.kind == WP_STEP_SEND) {
+        while (step.kind == WP_ENTRY_SEND) {
             attempts++;
             step = wp_entry_refused(f->entry, f->now, r, WP_OVERLOADED,
                                     WP_RAN_NOT_RUN, 1);
         }
-        assert_int_equal(step.kind, WP_STEP_FINAL);
+        assert_int_equal(step.kind, WP_ENTRY_FAIL);
         assert_true(step.retry_after_ms > 0);
         wp_request_free(r);
     }
@@ -162,7 +162,7 @@
 static void a_refused_version_is_chosen_anew(void **state)
 {
     Fake *f = with_agents(2);
-    WPStep step;
+    WPEntryAction step;
     (void)state;
     WPRequest *r = fake_ask(f, "tag", &step);
     assert_string_equal(r->version, "cheap");
@@ -175,7 +175,7 @@
                 2);
     step = wp_entry_refused(f->entry, f->now, r, WP_VERSION_REFUSED,
                             WP_RAN_NOT_RUN, 0);
-    assert_int_equal(step.kind, WP_STEP_SEND);
+    assert_int_equal(step.kind, WP_ENTRY_SEND);
     assert_string_equal(r->version, "strong");
     wp_request_free(r);
     fake_free(f);
@@ -184,25 +184,25 @@
 static void a_cascade_escalates_only_after_a_failed_check(void **state)
 {
     Fake *f = with_agents(2);
-    WPStep step;
+    WPEntryAction step;
     Wp__End end = end_of(true);
     (void)state;
     WPRequest *r = fake_ask(f, "digest", &step);
     assert_string_equal(r->version, "cheap");
-    assert_string_equal(r->escalate, "strong");
+    assert_string_equal(r->escalation_version, "strong");
     step = wp_entry_ended(f->entry, f->now, r, &end);
-    assert_int_equal(step.kind, WP_STEP_CHECK);
+    assert_int_equal(step.kind, WP_ENTRY_CHECK);
     step = wp_entry_checked(f->entry, f->now, r, false);
-    assert_int_equal(step.kind, WP_STEP_SEND);
+    assert_int_equal(step.kind, WP_ENTRY_SEND);
     assert_string_equal(r->version, "strong");
     assert_int_equal(r->step, 1);
     step = wp_entry_ended(f->entry, f->now, r, &end);
-    assert_int_equal(step.kind, WP_STEP_DONE);
+    assert_int_equal(step.kind, WP_ENTRY_DONE);
     wp_request_free(r);
     r = fake_ask(f, "digest", &step);
     step = wp_entry_ended(f->entry, f->now, r, &end);
     step = wp_entry_checked(f->entry, f->now, r, true);
-    assert_int_equal(step.kind, WP_STEP_DONE);
+    assert_int_equal(step.kind, WP_ENTRY_DONE);
     wp_request_free(r);
     fake_free(f);
 }
@@ -210,12 +210,12 @@
 static void a_cut_answer_is_not_whole(void **state)
 {
     Fake *f = with_agents(1);
-    WPStep step;
+    WPEntryAction step;
     Wp__End end = end_of(false);
     (void)state;
     WPRequest *r = fake_ask(f, "plan", &step);
     step = wp_entry_ended(f->entry, f->now, r, &end);
-    assert_int_equal(step.kind, WP_STEP_FINAL);
+    assert_int_equal(step.kind, WP_ENTRY_FAIL);
     assert_int_equal(wp_code_info(step.code)->ran, WP_RAN_UNKNOWN);
     /* The agent has made the bill: none of our own beside it. */
     assert_int_equal(wp_bills_pending(wp_entry_bills(f->entry)), 0);
@@ -248,7 +248,7 @@
 static void bills_of_the_dead_are_taken_over(void **state)
 {
     Fake *f = with_agents(1);
-    WPStep step;
+    WPEntryAction step;
     Wp__End end = end_of(true);
     (void)state;
     for (uint64_t seq = 1; seq <= 3; seq++) {
@@ -257,7 +257,7 @@
         wp_entry_ended(f->entry, f->now, r, &end);
         wp_request_free(r);
     }
-    wp_entry_settled(f->entry, "a1", 1, 1);
+    wp_entry_bills_settled(f->entry, "a1", 1, 1);
     assert_int_equal(wp_bills_pending(wp_entry_bills(f->entry)), 0);
     Wp__Member m = fake_agent("a1", 1, both, 2);
     m.incarnation = 2;
--- a/tests/test_fails_under_load.c
+++ b/tests/test_fails_under_load.c
@@ -92,7 +92,7 @@
     Fake k;
     (void)state;
     for (int detected = 0; detected < 2; detected++) {
-        WPMove m;
+        WPFlowAction m;
         WPDirectAnswer a = fake_answer(200, 5);
         fake_init(&k);
         wp_fleet_set_load(wp_fleet_find(k.d.fleet, "l1"), k.now, 3, 0, 8);
@@ -100,9 +100,9 @@
         if (detected)
             record_answers(&k, 0.5, 8, 4);
         WPFlow *f = fake_ask(&k, "/chat/x", NULL, &m);
-        wp_flow_answer(f, k.now, &a, &m);
-        assert_int_equal(m.kind, detected ? WP_MOVE_PASS : WP_MOVE_SEND);
-        wp_flow_left(f, k.now);
+        wp_flow_on_answer(f, k.now, &a, &m);
+        assert_int_equal(m.kind, detected ? WP_FLOW_FORWARD : WP_FLOW_SEND);
+        wp_flow_on_caller_gone(f, k.now);
         wp_flow_free(f);
         fake_end(&k);
     }
@@ -140,16 +140,16 @@
     (void)state;
     fake_init(&k);
     for (int i = 0; i < 6; i++) {
-        WPMove m;
+        WPFlowAction m;
         WPDirectAnswer a = fake_answer(500, -1);
         wp_fleet_set_load(wp_fleet_find(k.d.fleet, "l1"), k.now, 5, 0, 8);
         wp_fleet_set_load(wp_fleet_find(k.d.fleet, "l2"), k.now, 5, 0, 8);
         WPFlow *f = fake_ask(&k, "/chat/x", NULL, &m);
-        wp_flow_answer(f, k.now, &a, &m);
+        wp_flow_on_answer(f, k.now, &a, &m);
         /* Known as soon as the answer has come: the request itself goes on for
            seconds. */
         named += f->fails_loaded && !strcmp(f->fails_loaded, "v1");
-        wp_flow_left(f, k.now);
+        wp_flow_on_caller_gone(f, k.now);
         wp_flow_free(f);
     }
     assert_int_equal(named, 1);
@@ -164,7 +164,7 @@
     enum { CONCURRENT = 6 };
     Fake k;
     WPFlow *f[CONCURRENT];
-    WPMove m;
+    WPFlowAction m;
     (void)state;
     fake_init(&k);
     wp_fleet_remove(k.d.fleet, k.now, "l2", false);
@@ -172,12 +172,12 @@
     wp_fleet_set_load(wp_fleet_find(k.d.fleet, "l1"), k.now, 5, 0, 8);
     for (int i = 0; i < CONCURRENT; i++) {
         f[i] = fake_ask(&k, "/chat/x", NULL, &m);
-        assert_int_equal(m.kind, WP_MOVE_SEND);
+        assert_int_equal(m.kind, WP_FLOW_SEND);
     }
     fake_advance(&k, 100);
     for (int i = 0; i < CONCURRENT; i++) {
-        wp_flow_lost(f[i], k.now, WP_LOSS_BROKEN, &m);
-        wp_flow_left(f[i], k.now);
+        wp_flow_on_lost(f[i], k.now, WP_LOSS_BROKEN, &m);
+        wp_flow_on_caller_gone(f[i], k.now);
         wp_flow_free(f[i]);
     }
     assert_false(is_detected(&k));
--- a/tests/test_flow.c
+++ b/tests/test_flow.c
@@ -6,13 +6,13 @@
 non_repeatable_request_is_not_retried_if_it_may_have_run(void **state)
 {
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     (void)state;
     fake_init(&k);
     WPFlow *f = fake_ask(&k, "/once/x", NULL, &m);
-    assert_int_equal(m.kind, WP_MOVE_SEND);
-    wp_flow_lost(f, k.now, WP_LOSS_SILENT, &m);
-    assert_int_equal(m.kind, WP_MOVE_FAIL);
+    assert_int_equal(m.kind, WP_FLOW_SEND);
+    wp_flow_on_lost(f, k.now, WP_LOSS_NO_ANSWER, &m);
+    assert_int_equal(m.kind, WP_FLOW_FAIL);
     /* 502 leaves open whether the request has run; 429 and 503 would say that
        it has not. */
     assert_int_equal(wp_code_info(m.code)->status, 502);
@@ -23,15 +23,15 @@
 static void unsent_request_is_retried_elsewhere(void **state)
 {
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     (void)state;
     fake_init(&k);
     WPFlow *f = fake_ask(&k, "/once/x", NULL, &m);
     const WPReplica *first = m.replica;
-    wp_flow_lost(f, k.now, WP_LOSS_UNSENT, &m);
-    assert_int_equal(m.kind, WP_MOVE_SEND);
+    wp_flow_on_lost(f, k.now, WP_LOSS_UNSENT, &m);
+    assert_int_equal(m.kind, WP_FLOW_SEND);
     assert_ptr_not_equal(m.replica, first);
-    wp_flow_done(f, k.now, 0);
+    wp_flow_on_done(f, k.now, 0);
     wp_flow_free(f);
     fake_end(&k);
 }
@@ -39,16 +39,16 @@
 static void refusal_is_retried_and_reported_only_if_nothing_ran(void **state)
 {
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     WPDirectAnswer no = fake_answer(503, -1);
     (void)state;
     no.not_run = true;
     fake_init(&k);
     WPFlow *f = fake_ask(&k, "/once/x", NULL, &m);
-    wp_flow_answer(f, k.now, &no, &m);
-    assert_int_equal(m.kind, WP_MOVE_SEND);
-    wp_flow_answer(f, k.now, &no, &m);
-    assert_int_equal(m.kind, WP_MOVE_FAIL);
+    wp_flow_on_answer(f, k.now, &no, &m);
+    assert_int_equal(m.kind, WP_FLOW_SEND);
+    wp_flow_on_answer(f, k.now, &no, &m);
+    assert_int_equal(m.kind, WP_FLOW_FAIL);
     assert_int_equal(wp_code_info(m.code)->status, 503);
     assert_true(m.retry_ms > 0);
     wp_flow_free(f);
@@ -56,12 +56,12 @@
     /* The first attempt of this request failed after it had run. */
     f = fake_ask(&k, "/safe/x", NULL, &m);
     WPDirectAnswer bad = fake_answer(500, -1);
-    wp_flow_answer(f, k.now, &bad, &m);
-    assert_int_equal(m.kind, WP_MOVE_SEND);
-    wp_flow_answer(f, k.now, &no, &m);
-    while (m.kind == WP_MOVE_SEND)
-        wp_flow_answer(f, k.now, &no, &m);
-    assert_int_equal(m.kind, WP_MOVE_FAIL);
+    wp_flow_on_answer(f, k.now, &bad, &m);
+    assert_int_equal(m.kind, WP_FLOW_SEND);
+    wp_flow_on_answer(f, k.now, &no, &m);
+    while (m.kind == WP_FLOW_SEND)
+        wp_flow_on_answer(f, k.now, &no, &m);
+    assert_int_equal(m.kind, WP_FLOW_FAIL);
     assert_int_equal(wp_code_info(m.code)->status, 502);
     wp_flow_free(f);
     fake_end(&k);
@@ -70,13 +70,13 @@
 static void a_503_not_marked_as_not_run_may_have_run(void **state)
 {
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     WPDirectAnswer a = fake_answer(503, -1);
     (void)state;
     fake_init(&k);
     WPFlow *f = fake_ask(&k, "/once/x", NULL, &m);
-    wp_flow_answer(f, k.now, &a, &m);
-    assert_int_equal(m.kind, WP_MOVE_FAIL);
+    wp_flow_on_answer(f, k.now, &a, &m);
+    assert_int_equal(m.kind, WP_FLOW_FAIL);
     assert_int_equal(wp_code_info(m.code)->status, 502);
     wp_flow_free(f);
     fake_end(&k);
@@ -85,16 +85,16 @@
 static void last_failure_of_an_endpoint_is_forwarded(void **state)
 {
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     WPDirectAnswer a = fake_answer(500, -1);
     (void)state;
     fake_init(&k);
     WPFlow *f = fake_ask(&k, "/safe/x", NULL, &m);
-    wp_flow_answer(f, k.now, &a, &m);
-    assert_int_equal(m.kind, WP_MOVE_SEND);
-    wp_flow_answer(f, k.now, &a, &m);
-    assert_int_equal(m.kind, WP_MOVE_PASS);
-    wp_flow_done(f, k.now, 0);
+    wp_flow_on_answer(f, k.now, &a, &m);
+    assert_int_equal(m.kind, WP_FLOW_SEND);
+    wp_flow_on_answer(f, k.now, &a, &m);
+    assert_int_equal(m.kind, WP_FLOW_FORWARD);
+    wp_flow_on_done(f, k.now, 0);
     wp_flow_free(f);
     fake_end(&k);
 }
@@ -102,14 +102,14 @@
 static void answer_without_seal_is_rejected(void **state)
 {
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     WPDirectAnswer a = fake_answer(200, -1);
     (void)state;
-    a.genuine = false;
+    a.has_seal = false;
     fake_init(&k);
     WPFlow *f = fake_ask(&k, "/once/x", NULL, &m);
-    wp_flow_answer(f, k.now, &a, &m);
-    assert_int_equal(m.kind, WP_MOVE_FAIL);
+    wp_flow_on_answer(f, k.now, &a, &m);
+    assert_int_equal(m.kind, WP_FLOW_FAIL);
     assert_int_equal(wp_code_info(m.code)->status, 502);
     wp_flow_free(f);
     fake_end(&k);
@@ -118,7 +118,7 @@
 static void draining_endpoint_gets_no_requests(void **state)
 {
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     (void)state;
     fake_init(&k);
     fake_put(&k, "a1", "app", "v1", true);
@@ -126,10 +126,10 @@
         WPFlow *f = fake_ask(&k, "/safe/x", NULL, &m);
         assert_string_equal(m.replica->id, "a2");
         /* Not for a retry either, although the other endpoint has failed. */
-        wp_flow_lost(f, k.now, WP_LOSS_SILENT, &m);
-        if (m.kind == WP_MOVE_SEND) {
+        wp_flow_on_lost(f, k.now, WP_LOSS_NO_ANSWER, &m);
+        if (m.kind == WP_FLOW_SEND) {
             assert_string_equal(m.replica->id, "a2");
-            wp_flow_left(f, k.now);
+            wp_flow_on_caller_gone(f, k.now);
         }
         wp_flow_free(f);
     }
@@ -144,24 +144,24 @@
 static void stream_is_not_resumed_where_it_broke_off(void **state)
 {
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     WPDirectAnswer good = fake_answer(200, 90);
     (void)state;
     fake_init(&k);
     for (int i = 0; i < 20; i++) {
         WPFlow *f = fake_ask(&k, "/chat/x", NULL, &m);
         const WPReplica *first = m.replica;
-        wp_flow_answer(f, k.now, &good, &m);
-        wp_flow_lost(f, k.now, WP_LOSS_BROKEN, &m);
+        wp_flow_on_answer(f, k.now, &good, &m);
+        wp_flow_on_lost(f, k.now, WP_LOSS_BROKEN, &m);
         assert_ptr_not_equal(m.replica, first);
         WPReplica *other = m.replica;
-        wp_flow_left(f, k.now);
+        wp_flow_on_caller_gone(f, k.now);
         wp_flow_free(f);
         /* Even if the other endpoint is much busier. */
         wp_fleet_set_load(other, k.now, 6, 0, 8);
         f = fake_ask(&k, "/chat/x", NULL, &m);
         assert_ptr_equal(m.replica, other);
-        wp_flow_done(f, k.now, 9);
+        wp_flow_on_done(f, k.now, 9);
         wp_flow_free(f);
         fake_advance(&k, 5000);
     }
@@ -173,17 +173,17 @@
 static void retry_avoids_the_last_failed_endpoint(void **state)
 {
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     (void)state;
     fake_init(&k);
     for (int i = 0; i < 20; i++) {
         WPFlow *f = fake_ask(&k, "/chat/x", NULL, &m);
-        wp_flow_lost(f, k.now, WP_LOSS_BROKEN, &m);
+        wp_flow_on_lost(f, k.now, WP_LOSS_BROKEN, &m);
         const WPReplica *second = m.replica;
-        wp_flow_lost(f, k.now, WP_LOSS_BROKEN, &m);
-        assert_int_equal(m.kind, WP_MOVE_SEND);
+        wp_flow_on_lost(f, k.now, WP_LOSS_BROKEN, &m);
+        assert_int_equal(m.kind, WP_FLOW_SEND);
         assert_ptr_not_equal(m.replica, second);
-        wp_flow_left(f, k.now);
+        wp_flow_on_caller_gone(f, k.now);
         wp_flow_free(f);
         fake_advance(&k, 8000);
     }
@@ -192,14 +192,14 @@
 
 /* Begins a request at a box that stops in `stay_ms`. */
 static WPFlow *begin_at_stopping_box(Fake *k, const char *path,
-                                     uint32_t stay_ms, WPMove *m)
+                                     uint32_t stay_ms, WPFlowAction *m)
 {
-    WPDirectAsk ask = { .id = wp_str("r"),
-                        .host = wp_str("h.example"),
-                        .path = wp_str(path),
-                        .key = wp_str("key-1"),
-                        .deadline_ms = 10000,
-                        .stay_ms = stay_ms };
+    WPDirectRequest ask = { .id = wp_str("r"),
+                            .host = wp_str("h.example"),
+                            .path = wp_str(path),
+                            .key = wp_str("key-1"),
+                            .deadline_ms = 10000,
+                            .box_stops_in_ms = stay_ms };
     return wp_flow_begin(&k->d, k->now, &ask, m);
 }
 
@@ -208,23 +208,23 @@
 static void stopping_box_accepts_what_it_can_finish(void **state)
 {
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     WPDirectAnswer ok = fake_answer(200, -1);
     (void)state;
     fake_init(&k);
     for (int i = 0; i < 10; i++) { /* non-streaming answers take 50 ms */
         WPFlow *f = fake_ask(&k, "/safe/x", NULL, &m);
         fake_advance(&k, 50);
-        wp_flow_answer(f, k.now, &ok, &m);
-        wp_flow_done(f, k.now, 0);
+        wp_flow_on_answer(f, k.now, &ok, &m);
+        wp_flow_on_done(f, k.now, 0);
         wp_flow_free(f);
     }
     WPFlow *f = begin_at_stopping_box(&k, "/safe/x", 1000, &m);
-    assert_int_equal(m.kind, WP_MOVE_SEND);
+    assert_int_equal(m.kind, WP_FLOW_SEND);
     /* If the endpoint does not answer, the box itself answers before its
        process ends. */
     assert_true(m.budget_ms <= 1000);
-    wp_flow_done(f, k.now, 0);
+    wp_flow_on_done(f, k.now, 0);
     wp_flow_free(f);
     const struct {
         const char *path;
@@ -232,7 +232,7 @@
     } refused[] = { { "/safe/x", 100 }, { "/chat/x", 4000 } };
     for (size_t i = 0; i < WP_COUNT(refused); i++) {
         f = begin_at_stopping_box(&k, refused[i].path, refused[i].stay_ms, &m);
-        assert_int_equal(m.kind, WP_MOVE_FAIL);
+        assert_int_equal(m.kind, WP_FLOW_FAIL);
         assert_int_equal(m.code, WP_LEAVING);
         assert_true(m.retry_ms > 0);
         wp_flow_free(f);
@@ -245,14 +245,14 @@
 static void box_without_routes_tells_when_to_retry(void **state)
 {
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     uint32_t last_ms = 0;
     (void)state;
     fake_init(&k);
     wp_routes_unref(k.d.routes);
     k.d.routes = NULL;
     for (int unavailable = 0; unavailable < 2; unavailable++) {
-        k.d.start.store_unavailable = unavailable;
+        k.d.startup.store_unavailable = unavailable;
         WPFlow *f = fake_ask(&k, "/safe/x", NULL, &m);
         assert_int_equal(m.code, WP_NOT_READY);
         assert_true(m.retry_ms > last_ms);
@@ -263,15 +263,15 @@
 }
 
 /* Begins a request with a prompt of that many tokens. */
-static WPFlow *begin_with_prompt(Fake *k, uint32_t tokens, WPMove *m)
+static WPFlow *begin_with_prompt(Fake *k, uint32_t tokens, WPFlowAction *m)
 {
-    WPDirectAsk ask = { .id = wp_str("r"),
-                        .host = wp_str("h.example"),
-                        .path = wp_str("/chat/x"),
-                        .key = wp_str("key-1"),
-                        .prompt = { .tokens = tokens },
-                        .answer_tokens = 300,
-                        .deadline_ms = 20000 };
+    WPDirectRequest ask = { .id = wp_str("r"),
+                            .host = wp_str("h.example"),
+                            .path = wp_str("/chat/x"),
+                            .key = wp_str("key-1"),
+                            .prompt = { .tokens = tokens },
+                            .answer_tokens = 300,
+                            .deadline_ms = 20000 };
     return wp_flow_begin(&k->d, k->now, &ask, m);
 }
 
@@ -280,7 +280,7 @@
 static void unseen_model_is_predicted_by_its_price(void **state)
 {
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     WPDirectAnswer good = fake_answer(200, 90), poor = fake_answer(200, 45);
     (void)state;
     fake_init(&k);
@@ -288,21 +288,21 @@
         uint32_t tokens = 500 + i * 300;
         WPFlow *f = begin_with_prompt(&k, tokens, &m);
         fake_advance(&k, 20 + tokens / 200);
-        wp_flow_answer(f, k.now, &good, &m);
-        wp_flow_done(f, k.now, 9);
+        wp_flow_on_answer(f, k.now, &good, &m);
+        wp_flow_on_done(f, k.now, 9);
         wp_flow_free(f);
     }
     WPFlow *f = begin_with_prompt(&k, 60000, &m);
     fake_advance(&k, 320);
-    wp_flow_answer(f, k.now, &poor, &m);
-    assert_int_equal(m.kind, WP_MOVE_PASS);
-    wp_flow_done(f, k.now, 9);
+    wp_flow_on_answer(f, k.now, &poor, &m);
+    assert_int_equal(m.kind, WP_FLOW_FORWARD);
+    wp_flow_on_done(f, k.now, 9);
     wp_flow_free(f);
     f = begin_with_prompt(&k, 2000, &m);
     fake_advance(&k, 30);
-    wp_flow_answer(f, k.now, &poor, &m);
-    assert_int_equal(m.kind, WP_MOVE_SEND);
-    wp_flow_left(f, k.now);
+    wp_flow_on_answer(f, k.now, &poor, &m);
+    assert_int_equal(m.kind, WP_FLOW_SEND);
+    wp_flow_on_caller_gone(f, k.now);
     wp_flow_free(f);
     fake_end(&k);
 }
@@ -312,36 +312,36 @@
 static void late_first_bytes_decay_quickly(void **state)
 {
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     WPDirectAnswer good = fake_answer(200, 90);
     (void)state;
     fake_init(&k);
     for (int i = 0; i < 50; i++) {
         WPFlow *f = fake_ask(&k, "/chat/x", NULL, &m);
         fake_advance(&k, i < 10 ? 6000 : 100); /* the target is 2 s */
-        wp_flow_answer(f, k.now, &good, &m);
-        wp_flow_done(f, k.now, 9);
+        wp_flow_on_answer(f, k.now, &good, &m);
+        wp_flow_on_done(f, k.now, 9);
         wp_flow_free(f);
-        assert_true(k.d.lag <= 1);
+        assert_true(k.d.target_ratio <= 1);
     }
-    assert_true(k.d.lag < 0.15);
+    assert_true(k.d.target_ratio < 0.15);
     fake_end(&k);
 }
 
 static void another_endpoint_at_the_address_is_not_used(void **state)
 {
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     WPDirectAnswer a = fake_answer(421, -1);
     (void)state;
-    a.not_run = a.wrong = true;
+    a.not_run = a.wrong_endpoint = true;
     fake_init(&k);
     WPFlow *f = fake_ask(&k, "/once/x", NULL, &m);
     WPReplica *first = m.replica;
-    wp_flow_answer(f, k.now, &a, &m);
-    assert_int_equal(m.kind, WP_MOVE_SEND);
+    wp_flow_on_answer(f, k.now, &a, &m);
+    assert_int_equal(m.kind, WP_FLOW_SEND);
     assert_true(first->unreachable);
-    wp_flow_done(f, k.now, 0);
+    wp_flow_on_done(f, k.now, 0);
     wp_flow_free(f);
     fake_end(&k);
 }
@@ -349,26 +349,26 @@
 static void poor_answer_escalates_to_the_largest_model(void **state)
 {
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     WPDirectAnswer poor = fake_answer(200, 20), good = fake_answer(200, 90);
     (void)state;
     fake_init(&k);
     WPFlow *f = fake_ask(&k, "/chat/x", NULL, &m);
     assert_true(wp_str_eq(m.model, wp_str("small")));
-    wp_flow_answer(f, k.now, &poor, &m);
-    assert_int_equal(m.kind, WP_MOVE_SEND);
-    assert_int_equal(m.why, WP_WHY_BETTER);
+    wp_flow_on_answer(f, k.now, &poor, &m);
+    assert_int_equal(m.kind, WP_FLOW_SEND);
+    assert_int_equal(m.reason, WP_ATTEMPT_ESCALATE);
     assert_true(wp_str_eq(m.model, wp_str("large")));
     /* The largest model's answer is forwarded whatever its confidence. */
-    wp_flow_answer(f, k.now, &poor, &m);
-    assert_int_equal(m.kind, WP_MOVE_PASS);
-    wp_flow_done(f, k.now, 0);
+    wp_flow_on_answer(f, k.now, &poor, &m);
+    assert_int_equal(m.kind, WP_FLOW_FORWARD);
+    wp_flow_on_done(f, k.now, 0);
     wp_flow_free(f);
 
     f = fake_ask(&k, "/chat/x", NULL, &m);
-    wp_flow_answer(f, k.now, &good, &m);
-    assert_int_equal(m.kind, WP_MOVE_PASS);
-    wp_flow_done(f, k.now, 0);
+    wp_flow_on_answer(f, k.now, &good, &m);
+    assert_int_equal(m.kind, WP_FLOW_FORWARD);
+    wp_flow_on_done(f, k.now, 0);
     wp_flow_free(f);
     fake_end(&k);
 }
@@ -378,16 +378,16 @@
 static void answer_in_hand_is_kept_before_the_last_attempt(void **state)
 {
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     WPDirectAnswer poor = fake_answer(200, 20);
     (void)state;
     fake_init(&k);
     WPFlow *f = fake_ask(&k, "/chat/x", NULL, &m);
-    wp_flow_lost(f, k.now, WP_LOSS_SILENT, &m);
-    assert_int_equal(m.kind, WP_MOVE_SEND);
-    wp_flow_answer(f, k.now, &poor, &m);
-    assert_int_equal(m.kind, WP_MOVE_PASS);
-    wp_flow_done(f, k.now, 0);
+    wp_flow_on_lost(f, k.now, WP_LOSS_NO_ANSWER, &m);
+    assert_int_equal(m.kind, WP_FLOW_SEND);
+    wp_flow_on_answer(f, k.now, &poor, &m);
+    assert_int_equal(m.kind, WP_FLOW_FORWARD);
+    wp_flow_on_done(f, k.now, 0);
     wp_flow_free(f);
     fake_end(&k);
 }
@@ -395,25 +395,25 @@
 static void broken_stream_is_resumed_elsewhere(void **state)
 {
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     WPDirectAnswer a = fake_answer(200, 90);
     (void)state;
     fake_init(&k);
     WPFlow *f = fake_ask(&k, "/chat/x", NULL, &m);
     const WPReplica *first = m.replica;
-    wp_flow_answer(f, k.now, &a, &m);
-    wp_flow_lost(f, k.now, WP_LOSS_BROKEN, &m);
-    assert_int_equal(m.kind, WP_MOVE_SEND);
-    assert_int_equal(m.why, WP_WHY_RESUME);
+    wp_flow_on_answer(f, k.now, &a, &m);
+    wp_flow_on_lost(f, k.now, WP_LOSS_BROKEN, &m);
+    assert_int_equal(m.kind, WP_FLOW_SEND);
+    assert_int_equal(m.reason, WP_ATTEMPT_RESUME);
     assert_ptr_not_equal(m.replica, first);
-    wp_flow_answer(f, k.now, &a, &m);
-    assert_int_equal(m.kind, WP_MOVE_PASS);
-    wp_flow_lost(f, k.now, WP_LOSS_BROKEN, &m);
-    if (m.kind == WP_MOVE_SEND)
-        wp_flow_lost(f, k.now, WP_LOSS_BROKEN, &m);
+    wp_flow_on_answer(f, k.now, &a, &m);
+    assert_int_equal(m.kind, WP_FLOW_FORWARD);
+    wp_flow_on_lost(f, k.now, WP_LOSS_BROKEN, &m);
+    if (m.kind == WP_FLOW_SEND)
+        wp_flow_on_lost(f, k.now, WP_LOSS_BROKEN, &m);
     /* All three attempts are used: the caller's answer is aborted, as it must
        not look complete. */
-    assert_int_equal(m.kind, WP_MOVE_CUT);
+    assert_int_equal(m.kind, WP_FLOW_ABORT);
     wp_flow_free(f);
     fake_end(&k);
 }
@@ -421,15 +421,15 @@
 static void route_time_limit_gives_504(void **state)
 {
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     (void)state;
     fake_init(&k);
     WPFlow *f = fake_ask(&k, "/once/x", NULL, &m);
     /* The route's time limit is two seconds, the caller's ten. */
     assert_int_equal(m.budget_ms, 2000);
     fake_advance(&k, 2000);
-    wp_flow_expired(f, k.now, &m);
-    assert_int_equal(m.kind, WP_MOVE_FAIL);
+    wp_flow_on_deadline(f, k.now, &m);
+    assert_int_equal(m.kind, WP_FLOW_FAIL);
     assert_int_equal(wp_code_info(m.code)->status, 504);
     wp_flow_free(f);
     fake_end(&k);
@@ -438,11 +438,11 @@
 static void keys_and_routes_are_checked(void **state)
 {
     Fake k;
-    WPMove m;
-    WPDirectAsk ask = { .id = wp_str("x"),
-                        .host = wp_str("H.Example"),
-                        .path = wp_str("/chat/deep/er"),
-                        .key = wp_str("key-2") };
+    WPFlowAction m;
+    WPDirectRequest ask = { .id = wp_str("x"),
+                            .host = wp_str("H.Example"),
+                            .path = wp_str("/chat/deep/er"),
+                            .key = wp_str("key-2") };
     (void)state;
     fake_init(&k);
     WPFlow *f = wp_flow_begin(&k.d, k.now, &ask, &m);
@@ -465,9 +465,9 @@
     Fake k;
     (void)state;
     fake_init(&k);
-    assert_true(wp_direct_routes(&k.d, fake_routes(5)));
-    assert_false(wp_direct_routes(&k.d, fake_routes(4)));
-    assert_false(wp_direct_routes(&k.d, fake_routes(5)));
+    assert_true(wp_direct_set_routes(&k.d, fake_routes(5)));
+    assert_false(wp_direct_set_routes(&k.d, fake_routes(4)));
+    assert_false(wp_direct_set_routes(&k.d, fake_routes(5)));
     assert_int_equal(k.d.routes->version, 5);
     fake_end(&k);
 }
@@ -477,15 +477,15 @@
 static void retries_stay_within_the_budget(void **state)
 {
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     unsigned attempts = 0, requests = 400;
     (void)state;
     fake_init(&k);
     k.d.boxes = 2;
     for (unsigned i = 0; i < requests; i++) {
         WPFlow *f = fake_ask(&k, "/safe/x", NULL, &m);
-        for (; m.kind == WP_MOVE_SEND; attempts++)
-            wp_flow_lost(f, k.now, WP_LOSS_SILENT, &m);
+        for (; m.kind == WP_FLOW_SEND; attempts++)
+            wp_flow_on_lost(f, k.now, WP_LOSS_NO_ANSWER, &m);
         wp_flow_free(f);
         fake_advance(&k, 10);
     }
@@ -500,19 +500,19 @@
 static void first_byte_timeout_tries_another_endpoint(void **state)
 {
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     (void)state;
     fake_init(&k);
     WPFlow *f = fake_ask(&k, "/chat/x", NULL, &m);
-    assert_true(m.patience_ms > 0);
-    fake_advance(&k, m.patience_ms);
-    assert_true(wp_flow_impatient(f, k.now, &m));
-    assert_int_equal(m.kind, WP_MOVE_SEND);
-    wp_flow_left(f, k.now);
+    assert_true(m.first_byte_timeout_ms > 0);
+    fake_advance(&k, m.first_byte_timeout_ms);
+    assert_true(wp_flow_on_first_byte_timeout(f, k.now, &m));
+    assert_int_equal(m.kind, WP_FLOW_SEND);
+    wp_flow_on_caller_gone(f, k.now);
     wp_flow_free(f);
     f = fake_ask(&k, "/once/x", NULL, &m);
-    assert_int_equal(m.patience_ms, 0);
-    wp_flow_left(f, k.now);
+    assert_int_equal(m.first_byte_timeout_ms, 0);
+    wp_flow_on_caller_gone(f, k.now);
     wp_flow_free(f);
     fake_end(&k);
 }
@@ -523,25 +523,25 @@
 {
     static const int ms[] = { 0, 40, 900, 40 };
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     WPDirectAnswer a = fake_answer(200, 90);
     (void)state;
     fake_init(&k);
     WPFlow *f = fake_ask(&k, "/chat/x", NULL, &m);
-    wp_flow_answer(f, k.now, &a, &m);
+    wp_flow_on_answer(f, k.now, &a, &m);
     for (unsigned i = 0; i < WP_COUNT(ms); i++) {
         k.now.mono_us += ms[i] * WP_US_PER_MS;
-        wp_flow_progress(f, k.now, i + 1);
-        wp_flow_progress(f, k.now, i + 1); /* part of an event only */
+        wp_flow_on_events(f, k.now, i + 1);
+        wp_flow_on_events(f, k.now, i + 1); /* part of an event only */
     }
-    assert_int_equal(f->gap_us, 900 * WP_US_PER_MS);
-    wp_flow_lost(f, k.now, WP_LOSS_BROKEN, &m);
-    assert_int_equal(m.kind, WP_MOVE_SEND);
+    assert_int_equal(f->max_gap_us, 900 * WP_US_PER_MS);
+    wp_flow_on_lost(f, k.now, WP_LOSS_BROKEN, &m);
+    assert_int_equal(m.kind, WP_FLOW_SEND);
     k.now.mono_us += 1300 * WP_US_PER_MS;
-    wp_flow_answer(f, k.now, &a, &m);
-    wp_flow_progress(f, k.now, 1);
-    assert_int_equal(f->gap_us, 1300 * WP_US_PER_MS);
-    wp_flow_done(f, k.now, 1);
+    wp_flow_on_answer(f, k.now, &a, &m);
+    wp_flow_on_events(f, k.now, 1);
+    assert_int_equal(f->max_gap_us, 1300 * WP_US_PER_MS);
+    wp_flow_on_done(f, k.now, 1);
     wp_flow_free(f);
     fake_end(&k);
 }
--- a/tests/test_fuzz.c
+++ b/tests/test_fuzz.c
@@ -1,7 +1,7 @@
 /* Seeded mutations of what comes from outside: frames, YAML, selectors,
  * tokens, events. Under `make asan` any misstep of memory shows. */
 #include "test.h"
-#include "wp_check.h"
+#include "wp_config_validate.h"
 #include "wp_rollout.h"
 #include "wp_session.h"
 #include "wp_settings.h"
@@ -97,7 +97,7 @@
         s.n_ops = ops->len;
         s.ops = (Wp__Op **)ops->pdata;
         wp_config_apply_snapshot(c, &s);
-        g_ptr_array_unref(wp_check(c));
+        g_ptr_array_unref(wp_config_validate(c));
         wp_config_free(c);
         wp_ops_free(ops);
         wp_pb_free(m);
--- a/tests/test_incarnations.c
+++ b/tests/test_incarnations.c
@@ -131,11 +131,11 @@
 
 static const char *chosen_endpoint(Fake *k, const char *path)
 {
-    WPMove m;
+    WPFlowAction m;
     WPFlow *f = fake_ask(k, path, NULL, &m);
-    const char *id = m.kind == WP_MOVE_SEND ? g_intern_string(m.replica->id)
+    const char *id = m.kind == WP_FLOW_SEND ? g_intern_string(m.replica->id)
                                             : wp_code_info(m.code)->code;
-    wp_flow_left(f, k->now);
+    wp_flow_on_caller_gone(f, k->now);
     wp_flow_free(f);
     return id;
 }
@@ -175,13 +175,13 @@
 
 static void service_evacuated_everywhere_refuses_at_once(void **state)
 {
-    WPMove m;
+    WPFlowAction m;
     Fake k;
     (void)state;
     fake_init(&k);
     wp_fleet_set_zone_evacuated(k.d.fleet, k.now, "z1", true);
     WPFlow *f = fake_ask(&k, "/safe/x", NULL, &m);
-    assert_int_equal(m.kind, WP_MOVE_FAIL);
+    assert_int_equal(m.kind, WP_FLOW_FAIL);
     assert_int_equal(m.code, WP_NO_ENDPOINT);
     assert_int_equal(m.retry_ms, 2000);
     wp_flow_free(f);
@@ -192,7 +192,7 @@
    the same rule. */
 static void later_attempts_avoid_the_zone_too(void **state)
 {
-    WPMove m;
+    WPFlowAction m;
     Fake k;
     (void)state;
     fake_init(&k);
@@ -200,10 +200,10 @@
     WPFlow *f = fake_ask(&k, "/safe/x", NULL, &m);
     while (strcmp(m.replica->id, "far")) { /* sent before the evacuation */
         wp_fleet_set_zone_evacuated(k.d.fleet, k.now, "z1", true);
-        wp_flow_lost(f, k.now, WP_LOSS_BROKEN, &m);
-        assert_int_equal(m.kind, WP_MOVE_SEND);
+        wp_flow_on_lost(f, k.now, WP_LOSS_BROKEN, &m);
+        assert_int_equal(m.kind, WP_FLOW_SEND);
     }
-    wp_flow_left(f, k.now);
+    wp_flow_on_caller_gone(f, k.now);
     wp_flow_free(f);
     fake_end(&k);
 }
--- a/tests/test_limit.c
+++ b/tests/test_limit.c
@@ -87,7 +87,7 @@
     report_limit_sent_at(k, id, per_s, k->now.mono_us);
 }
 
-static const char *serve_once(Fake *k, WPMove *m)
+static const char *serve_once(Fake *k, WPFlowAction *m)
 {
     return fake_serve(k, "/safe/x", m);
 }
@@ -99,7 +99,7 @@
 static unsigned count_served(Fake *k, int64_t ms, const char *id)
 {
     unsigned n = 0;
-    WPMove m;
+    WPFlowAction m;
     for (int64_t t = 0; t < ms; t += REQUEST_INTERVAL_MS) {
         n += !strcmp(serve_once(k, &m), id);
         fake_advance(k, REQUEST_INTERVAL_MS);
@@ -139,7 +139,7 @@
 static void requests_above_all_limits_are_refused_at_once(void **state)
 {
     uint32_t last_ms = 0;
-    WPMove m;
+    WPFlowAction m;
     Fake k;
     (void)state;
     fake_init(&k);
@@ -150,7 +150,7 @@
     assert_string_not_equal(serve_once(&k, &m), "endpoints_limited");
     for (int i = 0; i < 5; i++) {
         assert_string_equal(serve_once(&k, &m), "endpoints_limited");
-        assert_true(wp_fleet_limit_of(m.barred) == LIMIT);
+        assert_true(wp_fleet_limit_of(m.excluded) == LIMIT);
         assert_true(m.retry_ms > last_ms);
         last_ms = m.retry_ms;
     }
@@ -166,7 +166,7 @@
 static void urgent_requests_get_most_of_a_limit(void **state)
 {
     unsigned urgent = 0, other = 0;
-    WPMove m;
+    WPFlowAction m;
     Fake k;
     (void)state;
     fake_init(&k);
@@ -345,7 +345,7 @@
 static void limits_do_not_speed_up_a_shift(void **state)
 {
     unsigned to_new = 0, refused = 0;
-    WPMove m;
+    WPFlowAction m;
     Fake k;
     (void)state;
     fake_init(&k);
@@ -375,10 +375,10 @@
     const WPReplica *s = wp_fleet_find(k.d.fleet, "a2");
     for (int i = 0; i < 200; i++) {
         WPDirectAnswer bad = fake_answer(500, -1);
-        WPMove m;
+        WPFlowAction m;
         WPFlow *f = fake_ask(&k, "/safe/x", NULL, &m);
-        for (int n = 0; n < 3 && m.kind == WP_MOVE_SEND; n++)
-            wp_flow_answer(f, k.now, &bad, &m);
+        for (int n = 0; n < 3 && m.kind == WP_FLOW_SEND; n++)
+            wp_flow_on_answer(f, k.now, &bad, &m);
         wp_flow_free(f);
         fake_advance(&k, REQUEST_INTERVAL_MS);
     }
--- a/tests/test_notice.c
+++ b/tests/test_notice.c
@@ -65,7 +65,7 @@
 static WPDirectAnswer draining_answer(int status)
 {
     WPDirectAnswer a = fake_answer(status, 90);
-    a.leaving.status = WP_NOTICE_PRESENT;
+    a.draining.status = WP_NOTICE_PRESENT;
     return a;
 }
 
@@ -73,18 +73,18 @@
 {
     WPDirectAnswer a = fake_answer(503, -1);
     a.not_run = true;
-    a.genuine = false;
-    a.rest = (WPNoticeField){ WP_NOTICE_PRESENT, backoff_s };
+    a.has_seal = false;
+    a.backoff = (WPNoticeField){ WP_NOTICE_PRESENT, backoff_s };
     return a;
 }
 
 /* Delivers the head of the answer to the flow, then the answer. */
 static void deliver_answer(Fake *k, WPFlow *f, const WPDirectAnswer *a,
-                           WPMove *m)
+                           WPFlowAction *m)
 {
-    WPHeard changes;
-    wp_flow_head(f, k->now, a, &changes);
-    wp_flow_answer(f, k->now, a, m);
+    WPHeadChanges changes;
+    wp_flow_on_head(f, k->now, a, &changes);
+    wp_flow_on_answer(f, k->now, a, m);
 }
 
 /* Begins a request whose endpoint gives this answer, and ends it; returns that
@@ -92,15 +92,15 @@
 static const char *request_answered_with(Fake *k, const char *path,
                                          const WPDirectAnswer *a)
 {
-    WPMove m;
+    WPFlowAction m;
     WPFlow *f = fake_ask(k, path, NULL, &m);
-    assert_int_equal(m.kind, WP_MOVE_SEND);
+    assert_int_equal(m.kind, WP_FLOW_SEND);
     const char *id = g_intern_string(m.replica->id);
     deliver_answer(k, f, a, &m);
-    if (m.kind == WP_MOVE_PASS)
-        wp_flow_done(f, k->now, 0);
+    if (m.kind == WP_FLOW_FORWARD)
+        wp_flow_on_done(f, k->now, 0);
     else
-        wp_flow_left(f, k->now);
+        wp_flow_on_caller_gone(f, k->now);
     wp_flow_free(f);
     return id;
 }
@@ -121,9 +121,9 @@
    milliseconds it may be retried. */
 static uint32_t refused_retry_ms(Fake *k, const char *path, WPCode code)
 {
-    WPMove m;
+    WPFlowAction m;
     WPFlow *f = fake_ask(k, path, NULL, &m);
-    assert_int_equal(m.kind, WP_MOVE_FAIL);
+    assert_int_equal(m.kind, WP_FLOW_FAIL);
     assert_int_equal(m.code, code);
     wp_flow_free(f);
     return m.retry_ms;
@@ -152,7 +152,7 @@
 {
     WPDirectAnswer refuses = draining_answer(503);
     WPDirectAnswer poor = draining_answer(200);
-    WPMove m;
+    WPFlowAction m;
     Fake k;
     (void)state;
     fake_init(&k);
@@ -163,9 +163,9 @@
     WPFlow *f = fake_ask(&k, "/chat/x", NULL, &m);
     id = g_intern_string(m.replica->id);
     deliver_answer(&k, f, &poor, &m);
-    assert_int_equal(m.kind, WP_MOVE_SEND);
+    assert_int_equal(m.kind, WP_FLOW_SEND);
     assert_string_not_equal(m.replica->id, id);
-    wp_flow_left(f, k.now);
+    wp_flow_on_caller_gone(f, k.now);
     wp_flow_free(f);
     assert_false(goes_to(&k, "/chat/x", id, 200));
     fake_end(&k);
@@ -179,7 +179,7 @@
     Fake k;
     (void)state;
     fake_init(&k);
-    wrong.wrong = wrong.not_run = true;
+    wrong.wrong_endpoint = wrong.not_run = true;
     const char *id = request_answered_with(&k, "/safe/x", &wrong);
     assert_false(wp_fleet_find(k.d.fleet, id)->reported.draining.source);
     fake_end(&k);
@@ -263,7 +263,7 @@
     const WPDirectAnswer backoff = backoff_answer(3);
     const WPDirectAnswer ok = fake_answer(200, 90);
     WPFlow *early[8];
-    WPMove m;
+    WPFlowAction m;
     Fake k;
     (void)state;
     fake_init(&k);
@@ -272,7 +272,7 @@
     const char *id = request_answered_with(&k, "/safe/x", &backoff);
     for (size_t i = 0; i < WP_COUNT(early); i++) {
         deliver_answer(&k, early[i], &ok, &m);
-        wp_flow_done(early[i], k.now, 0);
+        wp_flow_on_done(early[i], k.now, 0);
         wp_flow_free(early[i]);
     }
     fill_other_endpoint(&k, id);
@@ -285,7 +285,7 @@
 {
     const WPDirectAnswer backoff = backoff_answer(3),
                          shorter = backoff_answer(0.5);
-    WPMove m;
+    WPFlowAction m;
     Fake k;
     (void)state;
     fake_init(&k);
@@ -294,12 +294,12 @@
         early[i] = fake_ask(&k, "/safe/x", NULL, &m);
     const char *id = request_answered_with(&k, "/safe/x", &backoff);
     for (size_t i = 0; i < WP_COUNT(early); i++) {
-        bool same = !strcmp(early[i]->leg.replica->id, id);
+        bool same = !strcmp(early[i]->attempt.replica->id, id);
         if (same && i % 2)
             deliver_answer(&k, early[i], &shorter, &m);
         else if (same)
-            wp_flow_lost(early[i], k.now, WP_LOSS_BROKEN, &m);
-        wp_flow_left(early[i], k.now);
+            wp_flow_on_lost(early[i], k.now, WP_LOSS_BROKEN, &m);
+        wp_flow_on_caller_gone(early[i], k.now);
         wp_flow_free(early[i]);
     }
     fill_other_endpoint(&k, id);
@@ -400,7 +400,7 @@
     Fake k;
     (void)state;
     fake_init(&k);
-    own.rest = (WPNoticeField){ WP_NOTICE_PRESENT, 60 };
+    own.backoff = (WPNoticeField){ WP_NOTICE_PRESENT, 60 };
     request_answered_with(&k, "/safe/x", &slots_full);
     request_answered_with(&k, "/safe/x", &own);
     const WPNoticeCount n = wp_fleet_count_notices(k.d.fleet, k.now);
@@ -450,7 +450,7 @@
 static void backoffs_do_not_speed_up_a_shift(void **state)
 {
     unsigned to_new = 0, refused = 0;
-    WPMove m;
+    WPFlowAction m;
     Fake k;
     (void)state;
     fake_init(&k);
@@ -474,7 +474,7 @@
 /* Back-offs of the new version's endpoints count neither for nor against it. */
 static void backoffs_are_no_evidence_in_a_shift(void **state)
 {
-    WPMove m;
+    WPFlowAction m;
     Fake k;
     (void)state;
     fake_init(&k);
@@ -483,11 +483,11 @@
     for (int i = 0; i < 300; i++) {
         WPDirectAnswer ok = fake_answer(200, 90), backoff = backoff_answer(0.1);
         WPFlow *f = fake_ask(&k, "/chat/x", NULL, &m);
-        while (m.kind == WP_MOVE_SEND && m.replica->id[0] == 'n')
+        while (m.kind == WP_FLOW_SEND && m.replica->id[0] == 'n')
             deliver_answer(&k, f, &backoff, &m);
-        if (m.kind == WP_MOVE_SEND)
+        if (m.kind == WP_FLOW_SEND)
             deliver_answer(&k, f, &ok, &m);
-        wp_flow_left(f, k.now);
+        wp_flow_on_caller_gone(f, k.now);
         wp_flow_free(f);
         assert_int_equal(poll_for(&k, sh, LOOK_MS), WP_SHIFT_RUNNING);
     }
@@ -549,7 +549,7 @@
 {
     const WPDirectAnswer draining = draining_answer(200);
     const WPDirectAnswer backoff = backoff_answer(60);
-    WPMove m;
+    WPFlowAction m;
     Fake k;
     (void)state;
     fake_init(&k);
@@ -560,12 +560,13 @@
         wp_fleet_remove(k.d.fleet, k.now, id, false);
         fake_put(&k, id, "app", "v1", false);
     }
-    assert_string_not_equal(f[0]->leg.replica->id, f[1]->leg.replica->id);
+    assert_string_not_equal(f[0]->attempt.replica->id,
+                            f[1]->attempt.replica->id);
     deliver_answer(&k, f[0], &draining, &m);
-    wp_flow_done(f[0], k.now, 0);
+    wp_flow_on_done(f[0], k.now, 0);
     wp_flow_free(f[0]);
     deliver_answer(&k, f[1], &backoff, &m);
-    assert_int_equal(m.kind, WP_MOVE_FAIL);
+    assert_int_equal(m.kind, WP_FLOW_FAIL);
     wp_flow_free(f[1]);
     refused_retry_ms(&k, "/safe/x", WP_RESTING);
     fake_end(&k);
@@ -591,22 +592,22 @@
 static void invalid_notices_have_no_effect(void **state)
 {
     WPDirectAnswer bad = fake_answer(200, 90);
-    WPHeard changes;
-    WPMove m;
+    WPHeadChanges changes;
+    WPFlowAction m;
     Fake k;
     (void)state;
     fake_init(&k);
-    bad.leaving.status = WP_NOTICE_INVALID;
-    bad.rest.status = WP_NOTICE_INVALID;
+    bad.draining.status = WP_NOTICE_INVALID;
+    bad.backoff.status = WP_NOTICE_INVALID;
     unsigned reported = 0;
     for (int i = 0; i < 500; i++) {
         WPFlow *f = fake_ask(&k, "/safe/x", NULL, &m);
-        assert_int_equal(m.kind, WP_MOVE_SEND);
-        wp_flow_head(f, k.now, &bad, &changes);
-        assert_false(changes.leaves || changes.rests);
-        reported += changes.bad != NULL;
-        wp_flow_answer(f, k.now, &bad, &m);
-        wp_flow_done(f, k.now, 0);
+        assert_int_equal(m.kind, WP_FLOW_SEND);
+        wp_flow_on_head(f, k.now, &bad, &changes);
+        assert_false(changes.draining || changes.backoff);
+        reported += changes.bad_field != NULL;
+        wp_flow_on_answer(f, k.now, &bad, &m);
+        wp_flow_on_done(f, k.now, 0);
         wp_flow_free(f);
         fake_advance(&k, 20);
     }
--- a/tests/test_once.c
+++ b/tests/test_once.c
@@ -1,19 +1,19 @@
 /* Keys that may not be repeated: every order of the steps by which a keeper
  * changes, with the same key arriving at either agent at any point. */
 #include "test.h"
-#include "wp_once.h"
+#include "wp_idempotency.h"
 
 #define WINDOW_S 600
 #define SETTLE_MS 1000
 #define SKEW_MS 100
 #define VERSION "v"
 
-static const WPOnceRules rules = { WINDOW_S, SETTLE_MS, SKEW_MS };
+static const WPIdempotencyRules rules = { WINDOW_S, SETTLE_MS, SKEW_MS };
 static char version_name[] = VERSION;
 static char *versions[] = { version_name };
 
 typedef struct Agent {
-    WPOnce *once;
+    WPIdempotency *once;
     WPMembers *view;
     Wp__Member self;
     unsigned runs;
@@ -35,7 +35,7 @@
 static void agent_init(Agent *a, const char *id, uint64_t incarnation)
 {
     memset(a, 0, sizeof(*a));
-    a->once = wp_once_new(&rules);
+    a->once = wp_idempotency_new(&rules);
     a->view = wp_members_new();
     a->self = member(id, incarnation);
     wp_members_merge(a->view, &a->self, 0);
@@ -43,7 +43,7 @@
 
 static void agent_end(Agent *a)
 {
-    wp_once_free(a->once);
+    wp_idempotency_free(a->once);
     wp_members_free(a->view);
 }
 
@@ -57,11 +57,15 @@
                     uint64_t issued_ms)
 {
     WPTime now = at_ms(now_ms);
-    if (!wp_once_is_keeper(a->once, a->view, &a->self, VERSION, key, now_ms) ||
-        wp_once_pending(a->once, a->view, now, &a->self, VERSION, key))
+    if (!wp_idempotency_is_owner(a->once, a->view, &a->self, VERSION, key,
+                                 now_ms) ||
+        wp_idempotency_handover_pending(a->once, a->view, now, &a->self,
+                                        VERSION, key))
         return WP_NOT_KEEPER;
-    uint64_t since = wp_once_since(a->once, a->view, &a->self, VERSION, key);
-    WPCode code = wp_once_begin(a->once, now, VERSION, key, issued_ms, since);
+    uint64_t since =
+        wp_idempotency_owner_since(a->once, a->view, &a->self, VERSION, key);
+    WPCode code =
+        wp_idempotency_begin(a->once, now, VERSION, key, issued_ms, since);
     a->runs += code == WP_OK;
     return code;
 }
@@ -75,14 +79,15 @@
 {
     Pass *p = arg;
     (void)version;
-    wp_once_take(p->to->once, p->now, key, done);
+    wp_idempotency_add_handed_over(p->to->once, p->now, key, done);
 }
 
 static void hand_over(Agent *from, Agent *to, uint64_t now_ms)
 {
     Pass p = { to, at_ms(now_ms) };
-    wp_once_each(from->once, pass_key, &p);
-    wp_once_handed(to->once, from->self.id, from->self.incarnation);
+    wp_idempotency_each(from->once, pass_key, &p);
+    wp_idempotency_note_handover(to->once, from->self.id,
+                                 from->self.incarnation);
 }
 
 /* A key that falls to `newcomer` when both are settled. */
@@ -95,7 +100,7 @@
         wp_members_merge(t, &a, 0);
         wp_members_merge(t, &b, 0);
         const WPMemberRow *r =
-            wp_once_keeper(t, VERSION, key, 10 * SETTLE_MS, SETTLE_MS);
+            wp_idempotency_owner(t, VERSION, key, 10 * SETTLE_MS, SETTLE_MS);
         bool hit = !strcmp(r->m->id, newcomer);
         wp_members_free(t);
         if (hit)
@@ -194,13 +199,13 @@
     dead.has_gone = 1;
     dead.gone = 1;
     wp_members_merge(a.view, &dead, 0);
-    wp_once_left(a.once, at_ms(200000), &dead);
+    wp_idempotency_note_departed(a.once, at_ms(200000), &dead);
     assert_int_equal(offer(&a, 200010, key, 200005), WP_NOT_KEEPER);
     assert_int_equal(offer(&a, 202000, key, 199000), WP_ONCE_UNKNOWN);
     assert_int_equal(offer(&a, 202000, key, 0), WP_ONCE_UNKNOWN);
     assert_int_equal(offer(&a, 202000, key, 201000), WP_OK);
     assert_int_equal(offer(&a, 202001, key, 201000), WP_ONCE_RUNNING);
-    wp_once_done(a.once, at_ms(202002), key);
+    wp_idempotency_done(a.once, at_ms(202002), key);
     assert_int_equal(offer(&a, 202003, key, 201000), WP_ONCE_DONE);
     agent_end(&a);
 }
@@ -214,13 +219,13 @@
     agent_init(&leaver, "leaver", 1);
     wp_members_merge(a.view, &leaver.self, 0);
     wp_members_merge(leaver.view, &a.self, 0);
-    wp_once_handed(leaver.once, "heir", 1);
+    wp_idempotency_note_handover(leaver.once, "heir", 1);
     assert_int_equal(offer(&leaver, 100000, key, 99990), WP_OK);
     Wp__Member left = leaver.self;
     left.has_leaving = 1;
     left.leaving = 1;
     wp_members_merge(a.view, &left, 0);
-    wp_once_left(a.once, at_ms(100100), &left);
+    wp_idempotency_note_departed(a.once, at_ms(100100), &left);
     /* Its keys may still be under way. */
     assert_int_equal(offer(&a, 100110, key, 99990), WP_NOT_KEEPER);
     hand_over(&leaver, &a, 100120);
@@ -239,10 +244,10 @@
     agent_init(&a, "only", 1);
     uint64_t t = 100000000;
     assert_int_equal(offer(&a, t, "k", t), WP_OK);
-    assert_int_equal(wp_once_count(a.once), 1);
+    assert_int_equal(wp_idempotency_count(a.once), 1);
     t += WINDOW_S * 1000ULL + 1;
     assert_int_equal(offer(&a, t, "k2", t), WP_OK);
-    assert_int_equal(wp_once_count(a.once), 1);
+    assert_int_equal(wp_idempotency_count(a.once), 1);
     /* The old one is past the window: it cannot be run again. */
     assert_int_equal(offer(&a, t, "k", t - WINDOW_S * 1000ULL - 1),
                      WP_ONCE_UNKNOWN);
--- a/tests/test_pace.c
+++ b/tests/test_pace.c
@@ -144,14 +144,14 @@
     return s;
 }
 
-static const char *serve_once(Fake *k, WPMove *m)
+static const char *serve_once(Fake *k, WPFlowAction *m)
 {
     return fake_serve(k, "/chat/x", m);
 }
 
 static void cold_endpoint_gets_this_boxs_quota(void **state)
 {
-    WPMove m;
+    WPFlowAction m;
     Fake k;
     (void)state;
     init_cold(&k);
@@ -179,7 +179,7 @@
    for one window. */
 static void restarted_box_waits_for_a_window(void **state)
 {
-    WPMove m;
+    WPFlowAction m;
     Fake k;
     (void)state;
     init_cold(&k);
@@ -199,7 +199,7 @@
 /* The configuration may change the bound while an endpoint is cold. */
 static void changed_bound_applies_at_once(void **state)
 {
-    WPMove m;
+    WPFlowAction m;
     Fake k;
     (void)state;
     init_cold(&k);
@@ -214,7 +214,7 @@
 /* Services without a bound are not paced. */
 static void services_without_a_bound_are_not_paced(void **state)
 {
-    WPMove m;
+    WPFlowAction m;
     Fake k;
     (void)state;
     init_cold(&k);
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -240,7 +240,7 @@
                             .model = wp_str("m0"),
                             .budget_ms = 1234,
                             .priority = 2 };
-    WPDirectAsk ask;
+    WPDirectRequest ask;
     (void)state;
     h.target = wp_str("/x/y?z=1");
     assert_null(pf_ops.parse_request(&h, &ask));
@@ -266,7 +266,7 @@
                     field(PF_H_PROMPT, "aa:5,bb:6,dd:9") };
     WPHead ha = { .fields = a, .n_fields = 2, .target = wp_str("/") };
     WPHead hb = { .fields = b, .n_fields = 2, .target = wp_str("/") };
-    WPDirectAsk x, y;
+    WPDirectRequest x, y;
     (void)state;
     pf_ops.parse_request(&ha, &x);
     pf_ops.parse_request(&hb, &y);
@@ -305,7 +305,7 @@
                         field(PF_H_TOKENS, "1000,50"),
                         field(PF_H_PROMPT, texts[i]) };
         WPHead h = { .fields = f, .n_fields = 3, .target = wp_str("/") };
-        WPDirectAsk ask;
+        WPDirectRequest ask;
         assert_null(pf_ops.parse_request(&h, &ask));
         assert_int_equal(ask.prompt.tokens, 1000);
         assert_true(ask.prompt.n_parts <= WP_PROMPT_PARTS_MAX);
@@ -324,17 +324,17 @@
     assert_true(pf_ops.is_answer_to(&h, "id1"));
     assert_false(pf_ops.is_answer_to(&h, "id2"));
     pf_ops.read_answer(&h, &a);
-    assert_true(a.genuine && a.has_load && !a.not_run);
+    assert_true(a.has_seal && a.has_load && !a.not_run);
     assert_int_equal(a.confidence, 61);
     assert_int_equal(a.running * 100 + a.waiting * 10 + a.slots, 318);
-    assert_int_equal(a.pace, 0);
+    assert_int_equal(a.slowdown, 0);
     f[3] = field("X-Replica-Load", "3,1,8,170");
     pf_ops.read_answer(&h, &a);
     assert_int_equal(a.running * 100 + a.waiting * 10 + a.slots, 318);
-    assert_int_equal(a.pace, 170);
+    assert_int_equal(a.slowdown, 170);
     f[3] = field("Content-Encoding", "gzip");
     pf_ops.read_answer(&h, &a);
-    assert_false(a.genuine);
+    assert_false(a.has_seal);
     f[3] = field("X-Not-Executed", "1");
     h.status = 503;
     pf_ops.read_answer(&h, &a);
--- a/tests/test_reports.c
+++ b/tests/test_reports.c
@@ -129,7 +129,7 @@
     WPTime now = wp_clock_now(0);
     now.mono_us += r.ms * WP_US_PER_MS;
     for (unsigned i = 0; i < 3; i++)
-        wp_usage_note(r.site.host.direct.usage, now.mono_us, "acme");
+        wp_usage_count_request(r.site.host.direct.usage, now.mono_us, "acme");
     unsigned sum = 0;
     for (unsigned i = 0; i < 5 && !sum; i++) {
         assert_true(wait_for_write(&r)); /* it settles a window */
--- a/tests/test_rules.c
+++ b/tests/test_rules.c
@@ -1,6 +1,6 @@
 /* Label selectors, rules, checks of a configuration, and error texts. */
 #include "test.h"
-#include "wp_check.h"
+#include "wp_config_validate.h"
 #include "wp_settings.h"
 #include "settings.pb-c.h"
 #include "tools.pb-c.h"
@@ -122,7 +122,7 @@
 static bool complains(const char *yaml, const char *word)
 {
     WPConfig *c = config_from(yaml, 1);
-    GPtrArray *list = wp_check(c);
+    GPtrArray *list = wp_config_validate(c);
     bool found = false;
     for (guint i = 0; i < list->len; i++)
         found |= strstr(list->pdata[i], word) != NULL;
--- a/tests/test_session.c
+++ b/tests/test_session.c
@@ -70,13 +70,13 @@
     wp_policy_unref(forged);
 }
 
-static WPSessionPlace place(const WPPolicy *p, const char *version,
-                            uint64_t start_ms, const char *id)
+static WPSessionPlacement place(const WPPolicy *p, const char *version,
+                                uint64_t start_ms, const char *id)
 {
     Wp__SessionClaim c = WP__SESSION_CLAIM__INIT;
-    WPSessionAsk ask = { .id = wp_str(id),
-                         .workspace = wp_policy_workspace(p, "w"),
-                         .now_ms = 1800000000000 };
+    WPSessionQuery ask = { .id = wp_str(id),
+                           .workspace = wp_policy_workspace(p, "w"),
+                           .now_ms = 1800000000000 };
     WPVersionSet set;
     c.workspace = (char *)"w";
     c.version = (char *)version;
@@ -90,7 +90,7 @@
     return wp_session_place(p, wp_policy_kind(p, "k"), &set, &ask);
 }
 
-static const char *version_of(const WPPolicy *p, WPSessionPlace at)
+static const char *version_of(const WPPolicy *p, WPSessionPlacement at)
 {
     return at.version < 0
                ? "none"
@@ -105,7 +105,7 @@
     WPPolicy *back = policy_from(TWO(", withdrawn_ms: 700", ""));
     (void)state;
     assert_string_equal(version_of(up, place(up, "v1", 500, NULL)), "v1");
-    WPSessionPlace moved = place(down, "v1", 500, NULL);
+    WPSessionPlacement moved = place(down, "v1", 500, NULL);
     assert_string_equal(version_of(down, moved), "v2");
     assert_true(moved.moved);
     /* It does not return when the version does; a later session may use it. */
--- a/tests/test_shift.c
+++ b/tests/test_shift.c
@@ -55,7 +55,7 @@
    in the first stage. */
 static bool in_first_share(const char *session)
 {
-    return wp_direct_unit(wp_hash(wp_str(session), 0)) < 0.1;
+    return wp_direct_session_position(wp_hash(wp_str(session), 0)) < 0.1;
 }
 
 /* Boxes send each other only those bound sessions whose position lies within
@@ -79,29 +79,41 @@
         one = g_strdup(s);
     }
     assert_in_range(n_in_share, 10, 60);
-    assert_int_equal(
-        wp_direct_tell(&here.d, here.now, WP_TELL_BOUND, bound, 512), 0);
+    assert_int_equal(wp_direct_take_unsent_sessions(&here.d, here.now,
+                                                    WP_SESSION_UPDATE_BOUND,
+                                                    bound, 512),
+                     0);
     start_shift(&here);
     start_shift(&there);
-    size_t n = wp_direct_tell(&here.d, here.now, WP_TELL_BOUND, bound, 512);
+    size_t n = wp_direct_take_unsent_sessions(
+        &here.d, here.now, WP_SESSION_UPDATE_BOUND, bound, 512);
     assert_int_equal(n, n_in_share);
     /* Each is sent once, and again only when it is used again. */
-    assert_int_equal(
-        wp_direct_tell(&here.d, here.now, WP_TELL_BOUND, bound, 512), 0);
+    assert_int_equal(wp_direct_take_unsent_sessions(&here.d, here.now,
+                                                    WP_SESSION_UPDATE_BOUND,
+                                                    bound, 512),
+                     0);
     serving_version(&here, one);
-    assert_int_equal(
-        wp_direct_tell(&here.d, here.now, WP_TELL_BOUND, again, 512), 1);
+    assert_int_equal(wp_direct_take_unsent_sessions(&here.d, here.now,
+                                                    WP_SESSION_UPDATE_BOUND,
+                                                    again, 512),
+                     1);
     for (size_t i = 0; i < n; i++)
-        wp_direct_hear(&there.d, there.now, WP_TELL_BOUND, bound[i]);
+        wp_direct_merge_session(&there.d, there.now, WP_SESSION_UPDATE_BOUND,
+                                bound[i]);
     /* A received session is relayed to boxes further away, once: not again when
        it comes back from them. */
-    assert_int_equal(
-        wp_direct_tell(&there.d, there.now, WP_TELL_BOUND, again, 512),
-        n_in_share);
+    assert_int_equal(wp_direct_take_unsent_sessions(&there.d, there.now,
+                                                    WP_SESSION_UPDATE_BOUND,
+                                                    again, 512),
+                     n_in_share);
     for (size_t i = 0; i < n; i++)
-        wp_direct_hear(&there.d, there.now, WP_TELL_BOUND, bound[i]);
-    assert_int_equal(
-        wp_direct_tell(&there.d, there.now, WP_TELL_BOUND, again, 512), 0);
+        wp_direct_merge_session(&there.d, there.now, WP_SESSION_UPDATE_BOUND,
+                                bound[i]);
+    assert_int_equal(wp_direct_take_unsent_sessions(&there.d, there.now,
+                                                    WP_SESSION_UPDATE_BOUND,
+                                                    again, 512),
+                     0);
     fake_advance(&there, LEAD_MS);
     for (int i = 0; i < 300; i++) {
         g_autofree char *s = g_strdup_printf("s%d", i);
@@ -133,16 +145,18 @@
     g_autofree char *s = NULL;
     for (int i = 0; !s; i++) {
         char *name = g_strdup_printf("m%d", i);
-        if (wp_direct_unit(wp_hash(wp_str(name), 0)) > 0.5)
+        if (wp_direct_session_position(wp_hash(wp_str(name), 0)) > 0.5)
             s = name;
         else
             g_free(name);
     }
     uint64_t id = wp_hash(wp_str(s), 0);
-    wp_direct_session_on(&here.d, here.now, id, "v2");
-    size_t n = wp_direct_tell(&here.d, here.now, WP_TELL_MOVED, updates, 512);
+    wp_direct_record_session(&here.d, here.now, id, "v2");
+    size_t n = wp_direct_take_unsent_sessions(
+        &here.d, here.now, WP_SESSION_UPDATE_MOVED, updates, 512);
     assert_int_equal(n, 1);
-    wp_direct_hear(&there.d, there.now, WP_TELL_MOVED, updates[0]);
+    wp_direct_merge_session(&there.d, there.now, WP_SESSION_UPDATE_MOVED,
+                            updates[0]);
     for (int i = 0; i < 20; i++)
         n_new += !strcmp(serving_version(&there, s), "v2");
     assert_int_equal(n_new, 20);
@@ -154,7 +168,7 @@
 static void session_is_bound_from_its_first_attempt(void **state)
 {
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     (void)state;
     fake_init(&k);
     WPFlow *f = fake_ask(&k, "/chat/x", "s", &m);
@@ -163,7 +177,7 @@
     fake_advance(&k, LEAD_MS);
     for (int i = 0; i < 50; i++)
         assert_string_equal(serving_version(&k, "s"), "v1");
-    wp_flow_left(f, k.now);
+    wp_flow_on_caller_gone(f, k.now);
     wp_flow_free(f);
     fake_end(&k);
 }
@@ -173,15 +187,15 @@
 static void session_stays_bound_from_the_end_of_a_request(void **state)
 {
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     WPDirectAnswer a = fake_answer(200, 90);
     (void)state;
     fake_init(&k);
     WPFlow *f = fake_ask(&k, "/chat/x", "s", &m);
-    wp_flow_answer(f, k.now, &a, &m);
+    wp_flow_on_answer(f, k.now, &a, &m);
     start_shift(&k);
     fake_advance(&k, 8000);
-    wp_flow_done(f, k.now, 0);
+    wp_flow_on_done(f, k.now, 0);
     wp_flow_free(f);
     fake_advance(&k, 1000);
     assert_string_equal(serving_version(&k, "s"), "v1");
@@ -305,20 +319,26 @@
     WPShift *sh = start_shift(&k);
     fake_advance(&k, DURATION_MS * 7 / 10);
     uint64_t outside = 1, inside = 1; /* outside and inside of the share */
-    while (wp_direct_unit(outside) < 0.1)
+    while (wp_direct_session_position(outside) < 0.1)
         outside++;
-    while (wp_direct_unit(inside) >= 0.1)
+    while (wp_direct_session_position(inside) >= 0.1)
         inside++;
-    wp_direct_session_on(&k.d, k.now, outside, "v2");
-    wp_direct_session_on(&k.d, k.now, inside, "v2");
-    wp_direct_session_on(&k.d, k.now, outside + 1, "v1");
-    assert_int_equal(wp_direct_tell(&k.d, k.now, WP_TELL_BOUND, updates, 8), 0);
-    assert_int_equal(wp_direct_tell(&k.d, k.now, WP_TELL_MOVED, updates, 8), 1);
+    wp_direct_record_session(&k.d, k.now, outside, "v2");
+    wp_direct_record_session(&k.d, k.now, inside, "v2");
+    wp_direct_record_session(&k.d, k.now, outside + 1, "v1");
+    assert_int_equal(wp_direct_take_unsent_sessions(
+                         &k.d, k.now, WP_SESSION_UPDATE_BOUND, updates, 8),
+                     0);
+    assert_int_equal(wp_direct_take_unsent_sessions(
+                         &k.d, k.now, WP_SESSION_UPDATE_MOVED, updates, 8),
+                     1);
     assert_int_equal(updates[0], outside);
     wp_shift_merge_gate_passed(sh);
     fake_advance(&k, DURATION_MS * 15 / 100);
-    wp_direct_session_on(&k.d, k.now, outside, "v2");
-    assert_int_equal(wp_direct_tell(&k.d, k.now, WP_TELL_MOVED, updates, 8), 0);
+    wp_direct_record_session(&k.d, k.now, outside, "v2");
+    assert_int_equal(wp_direct_take_unsent_sessions(
+                         &k.d, k.now, WP_SESSION_UPDATE_MOVED, updates, 8),
+                     0);
     fake_end(&k);
 }
 
@@ -400,7 +420,7 @@
 {
     const WPShiftOrder next = { "llm", "v3", DURATION_MS, 20 };
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     (void)state;
     fake_init(&k);
     start_shift(&k);
@@ -413,7 +433,7 @@
     wp_shift_merge_elapsed(wp_shifts_add_order(k.d.shifts, k.now, &next), k.now,
                            0);
     WPFlow *f = fake_ask(&k, "/chat/x", "s", &m);
-    assert_int_equal(m.kind, WP_MOVE_FAIL);
+    assert_int_equal(m.kind, WP_FLOW_FAIL);
     assert_int_equal(m.code, WP_SESSION_BOUND);
     assert_in_range(m.retry_ms, 3900, 6000);
     wp_flow_free(f);
@@ -433,23 +453,30 @@
     const WPShiftOrder next = { "llm", "v3", DURATION_MS, 20 };
     Fake here, there;
     uint64_t updates[8];
-    WPMove m;
+    WPFlowAction m;
     (void)state;
     fake_init(&here);
     fake_init(&there);
     start_shift(&here);
     start_shift(&there);
     assert_string_equal(serving_version(&here, "s"), "v1");
-    assert_int_equal(
-        wp_direct_tell(&here.d, here.now, WP_TELL_LEFT, updates, 8), 0);
+    assert_int_equal(wp_direct_take_unsent_sessions(&here.d, here.now,
+                                                    WP_SESSION_UPDATE_RETIRED,
+                                                    updates, 8),
+                     0);
     apply_outcome(&here, "v2", 12, WP_SHIFT_DONE);
     apply_outcome(&there, "v2", 12, WP_SHIFT_DONE);
     assert_string_equal(serving_version(&here, "t"), "v2");
-    assert_int_equal(
-        wp_direct_tell(&here.d, here.now, WP_TELL_LEFT, updates, 8), 1);
-    assert_int_equal(
-        wp_direct_tell(&here.d, here.now, WP_TELL_LEFT, updates + 1, 7), 0);
-    wp_direct_hear(&there.d, there.now, WP_TELL_LEFT, updates[0]);
+    assert_int_equal(wp_direct_take_unsent_sessions(&here.d, here.now,
+                                                    WP_SESSION_UPDATE_RETIRED,
+                                                    updates, 8),
+                     1);
+    assert_int_equal(wp_direct_take_unsent_sessions(&here.d, here.now,
+                                                    WP_SESSION_UPDATE_RETIRED,
+                                                    updates + 1, 7),
+                     0);
+    wp_direct_merge_session(&there.d, there.now, WP_SESSION_UPDATE_RETIRED,
+                            updates[0]);
     wp_shifts_add_order(there.d.shifts, there.now, &next);
     WPFlow *f = fake_ask(&there, "/chat/x", "s", &m);
     assert_int_equal(m.code, WP_SESSION_BOUND);
--- a/tests/test_startup.c
+++ b/tests/test_startup.c
@@ -24,26 +24,26 @@
 {
     (void)state;
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     fake_init(&k);
     WPRoutes *t = wp_routes_ref(k.d.routes);
     wp_routes_unref(k.d.routes);
     k.d.routes = NULL;
-    k.d.start.start_us = k.now.mono_us - 1;
-    WPDirectAsk ask = { .id = wp_str("r1"),
-                        .host = wp_str("h.example"),
-                        .path = wp_str("/safe/x"),
-                        .key = wp_str("key-1"),
-                        .deadline_ms = 2000 };
+    k.d.startup.start_us = k.now.mono_us - 1;
+    WPDirectRequest ask = { .id = wp_str("r1"),
+                            .host = wp_str("h.example"),
+                            .path = wp_str("/safe/x"),
+                            .key = wp_str("key-1"),
+                            .deadline_ms = 2000 };
     WPFlow *f = wp_flow_begin(&k.d, k.now, &ask, &m);
-    assert_int_equal(m.kind, WP_MOVE_HOLD);
+    assert_int_equal(m.kind, WP_FLOW_HOLD);
     assert_int_equal(m.retry_ms, 500);
     fake_advance(&k, 300);
     k.d.routes = t;
-    wp_flow_enter(f, k.now, &ask, &m);
-    assert_int_equal(m.kind, WP_MOVE_SEND);
+    wp_flow_admit(f, k.now, &ask, &m);
+    assert_int_equal(m.kind, WP_FLOW_SEND);
     assert_int_equal(m.budget_ms, 1700);
-    wp_flow_left(f, k.now);
+    wp_flow_on_caller_gone(f, k.now);
     wp_flow_free(f);
     fake_end(&k);
 }
@@ -52,14 +52,14 @@
 {
     (void)state;
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     fake_init(&k);
     wp_routes_unref(k.d.routes);
     k.d.routes = NULL;
-    k.d.start.start_us = k.now.mono_us - 1;
+    k.d.startup.start_us = k.now.mono_us - 1;
     WPFlow *f = fake_ask(&k, "/once/x", NULL, &m);
-    assert_int_equal(m.kind, WP_MOVE_HOLD);
-    wp_flow_held_out(f, &m);
+    assert_int_equal(m.kind, WP_FLOW_HOLD);
+    wp_flow_hold_timeout(f, &m);
     assert_int_equal(m.code, WP_NOT_READY);
     assert_true(m.retry_ms > 0);
     wp_flow_free(f);
--- a/tests/test_suspects.c
+++ b/tests/test_suspects.c
@@ -218,20 +218,20 @@
 static void request_that_may_crash_endpoints_is_not_escalated(void **state)
 {
     Fake k;
-    WPMove m;
+    WPFlowAction m;
     const WPDirectAnswer poor = fake_answer(200, 5);
     (void)state;
     fake_init(&k);
     fake_put(&k, "l3", "llm", "v1", false);
     WPFlow *f = fake_ask(&k, "/chat/x", NULL, &m);
     for (int i = 0; i < 2; i++) {
-        assert_int_equal(m.kind, WP_MOVE_SEND);
-        wp_flow_lost(f, k.now, WP_LOSS_SILENT, &m);
+        assert_int_equal(m.kind, WP_FLOW_SEND);
+        wp_flow_on_lost(f, k.now, WP_LOSS_NO_ANSWER, &m);
     }
-    assert_int_equal(m.kind, WP_MOVE_SEND);
-    wp_flow_answer(f, k.now, &poor, &m);
-    assert_int_equal(m.kind, WP_MOVE_PASS);
-    wp_flow_done(f, k.now, 0);
+    assert_int_equal(m.kind, WP_FLOW_SEND);
+    wp_flow_on_answer(f, k.now, &poor, &m);
+    assert_int_equal(m.kind, WP_FLOW_FORWARD);
+    wp_flow_on_done(f, k.now, 0);
     wp_flow_free(f);
     fake_end(&k);
 }
@@ -317,15 +317,15 @@
     p->served += served;
 }
 
-static void run_action(Sim *p, Run *r, WPMove *m);
+static void run_action(Sim *p, Run *r, WPFlowAction *m);
 
 /* Sends the attempt to its endpoint; it fails at once if the endpoint is
    down. */
-static void send_attempt(Sim *p, Run *r, WPMove *m)
+static void send_attempt(Sim *p, Run *r, WPFlowAction *m)
 {
     g_strlcpy(r->endpoint, m->replica->id, sizeof(r->endpoint));
     if (!find_endpoint(p, r->endpoint)) {
-        wp_flow_lost(r->flow, at_ms(p->ms), WP_LOSS_UNSENT, m);
+        wp_flow_on_lost(r->flow, at_ms(p->ms), WP_LOSS_UNSENT, m);
         run_action(p, r, m);
         return;
     }
@@ -334,9 +334,9 @@
     r->end_ms = p->ms + ms;
 }
 
-static void run_action(Sim *p, Run *r, WPMove *m)
+static void run_action(Sim *p, Run *r, WPFlowAction *m)
 {
-    if (m->kind == WP_MOVE_SEND)
+    if (m->kind == WP_FLOW_SEND)
         send_attempt(p, r, m);
     else
         end_run(p, r, false);
@@ -351,14 +351,14 @@
     r->box = (unsigned)g_rand_int_range(p->rand, 0, (gint32)p->n_boxes);
     r->bad = bad;
     g_autofree char *id = g_strdup_printf("r%u", p->others);
-    const WPDirectAsk params = { .id = wp_str(id),
-                                 .host = wp_str("h.example"),
-                                 .path = wp_str("/many/x"),
-                                 .key = wp_str("key-1"),
-                                 .content =
-                                     bad ? BAD : 100 + g_rand_int(p->rand),
-                                 .deadline_ms = 10000 };
-    WPMove m;
+    const WPDirectRequest params = { .id = wp_str(id),
+                                     .host = wp_str("h.example"),
+                                     .path = wp_str("/many/x"),
+                                     .key = wp_str("key-1"),
+                                     .content_hash =
+                                         bad ? BAD : 100 + g_rand_int(p->rand),
+                                     .deadline_ms = 10000 };
+    WPFlowAction m;
     r->flow = wp_flow_begin(&p->boxes[r->box].d, at_ms(p->ms), &params, &m);
     run_action(p, r, &m);
 }
@@ -374,10 +374,10 @@
     down->unregister_at_ms = p->ms + UNREGISTER_MS;
     p->crashed++;
     for (Run *r = p->runs; r < p->runs + RUNS_MAX; r++) {
-        WPMove m;
+        WPFlowAction m;
         if (!r->flow || strcmp(r->endpoint, id))
             continue;
-        wp_flow_lost(r->flow, at_ms(p->ms), WP_LOSS_SILENT, &m);
+        wp_flow_on_lost(r->flow, at_ms(p->ms), WP_LOSS_NO_ANSWER, &m);
         run_action(p, r, &m);
     }
 }
@@ -392,9 +392,9 @@
             continue;
         }
         const WPDirectAnswer a = fake_answer(200, -1);
-        WPMove m;
-        wp_flow_answer(r->flow, at_ms(p->ms), &a, &m);
-        wp_flow_done(r->flow, at_ms(p->ms), 0);
+        WPFlowAction m;
+        wp_flow_on_answer(r->flow, at_ms(p->ms), &a, &m);
+        wp_flow_on_done(r->flow, at_ms(p->ms), 0);
         end_run(p, r, true);
     }
 }
@@ -508,7 +508,7 @@
     many->max_attempts = 3;
     many->timeout_ms = 10000;
     wp_route_add_target(t, many, "many", 1);
-    wp_direct_routes(&k->d, t);
+    wp_direct_set_routes(&k->d, t);
 }
 
 static void simulate(unsigned n_boxes, unsigned seed)
@@ -545,7 +545,7 @@
            p->crashed, p->served, p->others);
     for (Run *r = p->runs; r < p->runs + RUNS_MAX; r++) {
         if (r->flow)
-            wp_flow_left(r->flow, at_ms(p->ms));
+            wp_flow_on_caller_gone(r->flow, at_ms(p->ms));
         wp_flow_free(r->flow);
     }
     for (unsigned i = 0; i < n_boxes; i++)
--- a/tests/test_usage.c
+++ b/tests/test_usage.c
@@ -19,7 +19,7 @@
 
 static void take(void *arg, const WPUsageCount *c)
 {
-    wp_usage_hear(arg, c);
+    wp_usage_merge(arg, c);
 }
 
 static void add(void *arg, const WPUsageCount *c)
@@ -45,9 +45,9 @@
     (void)state;
     WPUsage *u = usage(1);
     uint64_t first = wp_usage_window(u, START_MS);
-    wp_usage_note(u, at(10).mono_us, "acme");
-    wp_usage_note(u, at(4999).mono_us, "acme");
-    wp_usage_note(u, at(5000).mono_us, "zoo");
+    wp_usage_count_request(u, at(10).mono_us, "acme");
+    wp_usage_count_request(u, at(4999).mono_us, "acme");
+    wp_usage_count_request(u, at(5000).mono_us, "zoo");
     assert_sums(u, first, "acme=2 ");
     assert_sums(u, first + 1, "zoo=1 ");
     wp_usage_free(u);
@@ -59,17 +59,17 @@
     (void)state;
     WPUsage *a = usage(1), *b = usage(2);
     uint64_t first = wp_usage_window(a, START_MS);
-    wp_usage_note(a, at(10).mono_us, "acme");
-    wp_usage_tell(a, take, b);
-    wp_usage_note(a, at(20).mono_us, "acme");
-    assert_true(wp_usage_any_untold(a));
-    wp_usage_tell(a, take, b);
-    assert_false(wp_usage_any_untold(a));
-    wp_usage_tell_all(a);
-    wp_usage_tell(a, take, b);
+    wp_usage_count_request(a, at(10).mono_us, "acme");
+    wp_usage_take_unsent(a, take, b);
+    wp_usage_count_request(a, at(20).mono_us, "acme");
+    assert_true(wp_usage_has_unsent(a));
+    wp_usage_take_unsent(a, take, b);
+    assert_false(wp_usage_has_unsent(a));
+    wp_usage_mark_all_unsent(a);
+    wp_usage_take_unsent(a, take, b);
     const WPUsageCount late = { 1, first, "acme", 1, false };
-    assert_false(wp_usage_hear(b, &late));
-    wp_usage_note(b, at(30).mono_us, "acme");
+    assert_false(wp_usage_merge(b, &late));
+    wp_usage_count_request(b, at(30).mono_us, "acme");
     assert_sums(b, first, "acme=3 ");
     wp_usage_free(a);
     wp_usage_free(b);
@@ -79,12 +79,12 @@
 {
     (void)state;
     WPUsage *u = usage(1);
-    wp_usage_note(u, at(10).mono_us, "acme");
+    wp_usage_count_request(u, at(10).mono_us, "acme");
     wp_usage_tick(u, at(KEEP_MS));
     assert_int_equal(wp_usage_rows(u), 1);
     wp_usage_tick(u, at(KEEP_MS + WINDOW_MS));
     assert_int_equal(wp_usage_rows(u), 0);
-    assert_false(wp_usage_any_untold(u));
+    assert_false(wp_usage_has_unsent(u));
     wp_usage_free(u);
 }
 
@@ -99,14 +99,14 @@
     ahead.wall_ms += 20000;
     wp_usage_start_clock(wrong, ahead);
     for (uint64_t box = 10; box < 13; box++) {
-        wp_usage_hear_clock(u, at(100), box, START_MS + 100);
-        wp_usage_hear_clock(wrong, at(100), box, START_MS + 100);
+        wp_usage_observe_clock(u, at(100), box, START_MS + 100);
+        wp_usage_observe_clock(wrong, at(100), box, START_MS + 100);
     }
-    wp_usage_hear_clock(u, at(100), 2,
-                        wp_usage_own_clock_ms(wrong, at(100).mono_us));
+    wp_usage_observe_clock(u, at(100), 2,
+                           wp_usage_local_clock_ms(wrong, at(100).mono_us));
     assert_int_equal(wp_usage_clock_ms(u, at(200).mono_us), START_MS + 200);
     assert_int_equal(wp_usage_clock_ms(wrong, at(200).mono_us), START_MS + 200);
-    assert_int_equal(wp_usage_own_clock_ms(wrong, at(200).mono_us),
+    assert_int_equal(wp_usage_local_clock_ms(wrong, at(200).mono_us),
                      START_MS + 20200);
     wp_usage_free(u);
     wp_usage_free(wrong);
@@ -125,8 +125,8 @@
 {
     (void)state;
     Fake k;
-    WPMove m;
-    WPHeard heard;
+    WPFlowAction m;
+    WPHeadChanges heard;
     fake_init(&k);
     WPUsage *u = wp_usage_new(1, WINDOW_MS, KEEP_MS);
     wp_usage_start_clock(u, k.now);
@@ -134,18 +134,18 @@
     WPFlow *f = fake_ask(&k, "/chat/x", NULL, &m);
     WPDirectAnswer refusal = fake_answer(503, -1);
     refusal.not_run = true;
-    wp_flow_head(f, k.now, &refusal, &heard);
-    wp_flow_answer(f, k.now, &refusal, &m);
+    wp_flow_on_head(f, k.now, &refusal, &heard);
+    wp_flow_on_answer(f, k.now, &refusal, &m);
     assert_int_equal(acme(u, &k), 0);
     WPDirectAnswer poor = fake_answer(200, 0);
-    wp_flow_head(f, k.now, &poor, &heard);
+    wp_flow_on_head(f, k.now, &poor, &heard);
     k.now.mono_us += 1000;
-    wp_flow_answer(f, k.now, &poor, &m);
-    assert_int_equal(m.why, WP_WHY_BETTER);
+    wp_flow_on_answer(f, k.now, &poor, &m);
+    assert_int_equal(m.reason, WP_ATTEMPT_ESCALATE);
     WPDirectAnswer good = fake_answer(200, 99);
-    wp_flow_head(f, k.now, &good, &heard);
+    wp_flow_on_head(f, k.now, &good, &heard);
     assert_int_equal(acme(u, &k), 1);
-    wp_flow_left(f, k.now);
+    wp_flow_on_caller_gone(f, k.now);
     wp_flow_free(f);
     fake_end(&k);
     wp_usage_free(u);
--- a/tests/test_witness.c
+++ b/tests/test_witness.c
@@ -53,7 +53,7 @@
 static void keep(WPEntry *e, const char *owner, const char *id, uint64_t seq)
 {
     Wp__Bill b = bill(id, seq);
-    wp_list_append(&e->copies, &wp_copy_new(owner, 1, &b)->link);
+    wp_list_append(&e->bill_copies, &wp_bill_copy_new(owner, 1, &b)->link);
 }
 
 static Fake *start(void)
@@ -70,25 +70,25 @@
     Told t = { 0 };
     (void)state;
     keep(f->entry, "a1", "r1", 1);
-    wp_entry_tell_witness(f->entry, f->now, on_told, &t);
+    wp_entry_send_backup(f->entry, f->now, on_told, &t);
     assert_int_equal(t.calls, 1);
     assert_string_equal(t.addr, "127.0.0.1:72");
     assert_int_equal(t.last->n_held, 1);
     assert_string_equal(t.last->held[0]->bill->request_id, "r1");
-    wp_entry_tell_witness(f->entry, f->now, on_told, &t);
+    wp_entry_send_backup(f->entry, f->now, on_told, &t);
     assert_int_equal(t.calls, 1);
     keep(f->entry, "a1", "r2", 2);
-    wp_entry_settled(f->entry, "a1", 1, 1);
-    wp_entry_tell_witness(f->entry, f->now, on_told, &t);
+    wp_entry_bills_settled(f->entry, "a1", 1, 1);
+    wp_entry_send_backup(f->entry, f->now, on_told, &t);
     assert_int_equal(t.last->n_held, 1);
     assert_string_equal(t.last->held[0]->bill->request_id, "r2");
     assert_int_equal(t.last->settled[0]->upto, 1);
     /* A link that ended may have lost it; a new start knows nothing. */
-    wp_entry_witness_lost(f->entry, "127.0.0.1:72");
-    wp_entry_tell_witness(f->entry, f->now, on_told, &t);
+    wp_entry_backup_link_lost(f->entry, "127.0.0.1:72");
+    wp_entry_send_backup(f->entry, f->now, on_told, &t);
     assert_int_equal(t.calls, 3);
     put(f, "e2", WP__ROLE__ROLE_ENTRY, 2, false);
-    wp_entry_tell_witness(f->entry, f->now, on_told, &t);
+    wp_entry_send_backup(f->entry, f->now, on_told, &t);
     assert_int_equal(t.calls, 4);
     assert_int_equal(t.last->n_held, 1);
     told_end(&t);
@@ -107,7 +107,7 @@
     w.incarnation = 1;
     w.held = list;
     w.n_held = 1;
-    wp_entry_witnessed(f->entry, f->now, &w);
+    wp_entry_receive_backup(f->entry, f->now, &w);
 }
 
 static unsigned written(const Fake *f)
@@ -148,8 +148,8 @@
     w.incarnation = 1;
     w.settled = list;
     w.n_settled = 1;
-    wp_entry_witnessed(f->entry, f->now, &w);
-    wp_entry_settled(f->entry, "a1", 1, 2); /* the agent's own word */
+    wp_entry_receive_backup(f->entry, f->now, &w);
+    wp_entry_bills_settled(f->entry, "a1", 1, 2); /* the agent's own word */
     put(f, "a1", WP__ROLE__ROLE_AGENT, 1, true);
     f->now.mono_us += 61 * WP_US_PER_S;
     wp_entry_refresh(f->entry, f->now); /* the entry had time to write r3 */
