--- a/io/wp_host_admin.c
+++ b/io/wp_host_admin.c
@@ -104,8 +104,7 @@
         wp_members_each(wp_node_members(h->node), add_member, list);
         wp_http_reply_json(r, 200, list);
     } else if (!h->ops->admin || !h->ops->admin(h->role, r, path)) {
-        wp_http_reply_json(r, 404,
-                           json_pack("{s:s}", "error", "no such admin path"));
+        wp_http_reply_json(r, 404, json_pack("{s:s}", "error", "no such page"));
     }
 }
 
