--- a/io/wp_attempts.c
+++ b/io/wp_attempts.c
@@ -181,6 +181,8 @@
         send_probe(x->server, list[i]);
 }
 
+/* Starts an attempt: sends the request to the agent of `p`, and probes besides.
+   If the agent's address is malformed, the attempt counts as a lost link. */
 static void send_start(WPExchange *x, const WPEndpoint *p)
 {
     WPServer *s = x->server;
@@ -223,6 +225,8 @@
     char id[40]; /* request id; the exchange may end before the result comes */
 } QualityCheck;
 
+/* Sends the pending answer to the rating service to be checked; without that
+   service the answer counts as good. */
 static void request_check(WPExchange *x)
 {
     WPHttp *ratings = wp_host_ratings(x->server->host);
--- a/io/wp_digest.c
+++ b/io/wp_digest.c
@@ -4,6 +4,9 @@
 #include "wp_reports.h"
 #include "wp_sync_int.h"
 
+/* Merges the answer counts, elapsed time, gate and finding on the new version
+   that another box has sent of a shift. Ignored if this box knows no shift of
+   the same order. */
 static void merge_sums(WPSync *s, WPTime now, const char *from,
                        const Wp__MoveSums *m)
 {
@@ -82,6 +85,8 @@
     Wp__MirrorDigest *digest;
 } Fill;
 
+/* Adds this box's own counts of a running shift to a digest, for up to
+   WP_DIGEST_SHIFTS_MAX shifts. */
 static void fill_sums(void *arg, WPShift *sh)
 {
     Fill *f = arg;
--- a/io/wp_direct_admin.c
+++ b/io/wp_direct_admin.c
@@ -59,6 +59,8 @@
                            (unsigned long)bytes);
 }
 
+/* Answers a request with the counters and the present state of this box, in the
+   text format of Prometheus. */
 static void on_metrics(struct evhttp_request *r, void *arg)
 {
     WPDirectHost *h = arg;
--- a/io/wp_direct_host.c
+++ b/io/wp_direct_host.c
@@ -10,8 +10,9 @@
 enum {
     TICK_MS = 50,
     TRAFFIC_LOG_MS = 10000, /* between log lines on bytes to other boxes */
-    LATE_TICK_MS = 200, /* after so long without a tick, the loop's timers may
-                           have stood still, as the machine was suspended */
+    LATE_TICK_MS = 200, /* after a longer time without a tick the loop's timers
+                           may have stood still, as the machine was
+                           suspended */
     CONNECT_MS = 400, /* TCP sends a lost SYN again after 1 s: another endpoint
                          is tried before that */
     IDLE_MS = 4000,   /* idle time after which a connection is closed whose
@@ -24,8 +25,8 @@
                                accepts only requests that it can finish */
     DRAIN_IDLE_MS = 300,    /* then connections of callers that are idle for
                                this time are closed */
-    DRAIN_MARGIN_MS = 500,  /* the process exits so long before the platform
-                               kills it */
+    DRAIN_MARGIN_MS = 500,  /* time from the exit of the process to the moment
+                               at which the platform would kill it */
     DRAIN_WRITE_MS = 300    /* left for writing out the last answers */
 };
 
@@ -105,6 +106,8 @@
            "most", limit, "callers_cut", n, NULL);
 }
 
+/* Does the periodic work of all parts, every TICK_MS. After a late tick the
+   deadlines of requests are set again. */
 static void on_tick(evutil_socket_t fd, short what, void *arg)
 {
     WPDirectHost *h = arg;
--- a/io/wp_direct_host.h
+++ b/io/wp_direct_host.h
@@ -15,6 +15,8 @@
 WPDirectHost *wp_direct_host_new(const Wp__DirectSettings *s,
                                  const WPPlatformOps *platform,
                                  const char *file, GError **error);
+
+/* Closes all listeners and connections and frees the host. */
 void wp_direct_host_free(WPDirectHost *h);
 
 /* Runs the event loop until a planned stop, begun by SIGTERM, has completed. */
--- a/io/wp_direct_int.h
+++ b/io/wp_direct_int.h
@@ -63,6 +63,8 @@
 /* wp_sync.c: keeps this box's state in step with the store and the other
    boxes. */
 WPSync *wp_sync_new(WPDirectHost *h, GError **error);
+
+/* Ends the links to the store and the other boxes. */
 void wp_sync_free(WPSync *s);
 
 /* To be called on each tick of the process. */
--- a/io/wp_downstream.c
+++ b/io/wp_downstream.c
@@ -268,6 +268,7 @@
     end_callback(p);
 }
 
+/* Adds the connection of a caller and starts its idle time-out. */
 static void on_accept(struct evconnlistener *l, evutil_socket_t fd,
                       struct sockaddr *sa, int n, void *arg)
 {
--- a/io/wp_downstream.h
+++ b/io/wp_downstream.h
@@ -61,6 +61,8 @@
 WPDownstream *wp_downstream_new(struct event_base *base, const char *addr,
                                 const WPDownstreamOps *ops, void *arg,
                                 GError **error);
+
+/* Closes the listener and all connections of callers. */
 void wp_downstream_free(WPDownstream *f);
 
 /* Sets the size limits and timeouts of requests. The read buffer size, which
@@ -75,6 +77,8 @@
    Returns how many connections are left. */
 unsigned wp_downstream_close_idle(WPDownstream *f, WPTime now,
                                   uint32_t idle_ms);
+
+/* Returns the number of open connections of callers. */
 unsigned wp_downstream_connection_count(const WPDownstream *f);
 
 /* Returns the bytes buffered for all callers (input, bodies and output), and
@@ -104,8 +108,9 @@
    that the caller sees that the answer is incomplete. */
 void wp_downstream_abort(WPDownstreamConn *p);
 
-/* Returns whether so much output waits to be read by the caller that the
-   endpoint should be paused; `writable` is then called later. */
+/* Returns whether 64 KiB of output or more wait to be read by the caller, so
+   that the endpoint should be paused; `writable` is called once half of that or
+   less is left. */
 bool wp_downstream_is_backlogged(WPDownstreamConn *p);
 
 #endif
--- a/io/wp_engine.c
+++ b/io/wp_engine.c
@@ -160,6 +160,9 @@
     send_chunk(r, data, n);
 }
 
+/* The engine's response has ended, or the request has failed (`req` NULL or
+   without a status). Decides whether the run counts as not started, incomplete
+   or complete, and keeps the connection if there was a response. */
 static void on_done(struct evhttp_request *req, void *arg)
 {
     WPRun *r = arg;
--- a/io/wp_h1.c
+++ b/io/wp_h1.c
@@ -65,6 +65,8 @@
            p->content_length == UINT64_MAX;
 }
 
+/* Passes the complete head to `ops->head`. Returns 1 if no body follows, by the
+   convention of http_parser, else 0. */
 static int on_head(http_parser *p)
 {
     WPH1 *h = p->data;
--- a/io/wp_host.c
+++ b/io/wp_host.c
@@ -33,6 +33,8 @@
     h->running_actions = false;
 }
 
+/* Passes a frame to the node and, if that has not handled it, to the role;
+   pings are answered here. */
 static void on_frame(void *arg, WPLink *l, Wp__Frame *f)
 {
     WPHost *h = arg;
@@ -111,6 +113,9 @@
     .blocked = on_blocked,
 };
 
+/* The write of a batch of bills has ended. If the key exists already, its value
+   shows whether an earlier write of this batch had succeeded. Counts the bills
+   that are confirmed by this, and tells the role. */
 static void on_bills_written(void *arg, const WPKvResult *r)
 {
     WPHost *h = arg;
@@ -173,6 +178,8 @@
     return wp_node_self(h->node)->role == WP__ROLE__ROLE_AGENT;
 }
 
+/* Does the periodic work of the node, the links and the role. An agent's links
+   get AGENT_TIMEOUT_FACTOR times as long to answer. */
 static void on_tick(evutil_socket_t fd, short what, void *arg)
 {
     WPHost *h = arg;
@@ -209,6 +216,9 @@
     wp_host_run_actions(h);
 }
 
+/* Creates the clients of the services that the settings name; the store's may
+   inject faults in tests. Returns false and sets the error if an address is
+   malformed. */
 static bool open_platform(WPHost *h, GError **error)
 {
     Wp__NodeSettings *s = h->settings;
--- a/io/wp_host.h
+++ b/io/wp_host.h
@@ -44,6 +44,9 @@
    an entry. Returns NULL and an error if an address cannot be used. */
 WPHost *wp_host_new(const Wp__NodeSettings *s, Wp__Role role, char **versions,
                     size_t n_versions, uint32_t slots, GError **error);
+
+/* Closes the listeners and links and frees the host, but not the role; that is
+   freed before, as wp_server_free() and wp_runner_free() remove themselves. */
 void wp_host_free(WPHost *h);
 
 /* Sets the role and its callbacks; NULL, NULL removes it. Must be set before
@@ -57,6 +60,8 @@
 /* The present time, with a wall-clock time without steps
    (wp_clock_monitor_wall_ms()). */
 WPTime wp_host_now(const WPHost *h);
+
+/* Parts of the host, which owns them. */
 WPNode *wp_host_node(WPHost *h);
 WPHub *wp_host_hub(WPHost *h);
 WPKv *wp_host_kv(WPHost *h);        /* client of the store, or NULL */
--- a/io/wp_host_admin.c
+++ b/io/wp_host_admin.c
@@ -82,6 +82,8 @@
     json_array_append_new(arg, wp_pb_json(&r->m->base));
 }
 
+/* Answers a request to the admin port: health, status, timeline of events,
+   boxes, or a path of the role; fault injection with `test_hooks` only. */
 static void on_admin(struct evhttp_request *r, void *arg)
 {
     WPHost *h = arg;
--- a/io/wp_host_platform.c
+++ b/io/wp_host_platform.c
@@ -53,6 +53,8 @@
     wp_host_run_actions(h);
 }
 
+/* Takes over the platform's list of boxes. A list with an incomplete record is
+   ignored as a whole, unlike an empty one. */
 static void on_boxes(void *arg, int status, WPStr body)
 {
     WPHost *h = arg;
@@ -78,6 +80,8 @@
     wp_host_run_actions(h);
 }
 
+/* Takes over the sums of ratings; those without a kind or version are left out.
+   Without a valid response nothing changes. */
 static void on_ratings(void *arg, int status, WPStr body)
 {
     WPHost *h = arg;
--- a/io/wp_http.c
+++ b/io/wp_http.c
@@ -121,6 +121,8 @@
     g_free(h);
 }
 
+/* Passes the response to the caller's function, with status 0 if there is none.
+   If the client was freed meanwhile, drops the call. */
 static void on_response(struct evhttp_request *r, void *arg)
 {
     Call *c = arg;
--- a/io/wp_kv_etcd.c
+++ b/io/wp_kv_etcd.c
@@ -83,6 +83,8 @@
     return a;
 }
 
+/* Decodes the response of the store and calls the caller's function. After a
+   failure the next call goes to the next target. */
 static void on_answer(void *arg, int status, WPStr body)
 {
     Call *c = arg;
@@ -152,6 +154,8 @@
                      "value", to_b64(op->value.p, op->value.n));
 }
 
+/* Sends a transaction. If a condition does not hold, etcd returns the present
+   values of the compared keys instead. */
 static void etcd_txn(WPKv *kv, const WPKvCompare *compares, size_t n_compares,
                      const WPKvOp *ops, size_t n_ops, WPKvResultFn done,
                      void *arg)
@@ -180,6 +184,8 @@
         event(e->event_arg, WP_KV_WATCH_LOST, NULL);
 }
 
+/* Reports each change in one line of the watch's JSON stream. The callback may
+   end the watch, which leaves out the rest. */
 static void on_watch_line(Etcd *e, WPStr line)
 {
     g_autoptr(GArray) items = new_items();
--- a/io/wp_link.c
+++ b/io/wp_link.c
@@ -47,6 +47,8 @@
     wp_link_send(l, &f);
 }
 
+/* Adds a link on `bev` to the hub's list. An accepted one counts as connected,
+   an outgoing one does not yet. */
 static WPLink *new_link(WPHub *h, struct bufferevent *bev, bool outgoing)
 {
     WPLink *l = g_new0(WPLink, 1);
--- a/io/wp_link.h
+++ b/io/wp_link.h
@@ -63,14 +63,19 @@
 WPHub *wp_hub_new(struct event_base *base, const char *addr, uint16_t port,
                   const Wp__Member *self, const WPHubOps *ops, void *arg,
                   GError **error);
+
+/* Stops listening, closes all links and frees the hub. */
 void wp_hub_free(WPHub *h);
 
 /* Returns the bytes sent and received on all links. Frames sent with
    wp_link_send_serialized() are not counted. */
 const WPPeerTraffic *wp_hub_traffic(const WPHub *h);
 
-/* Returns the link to the peer that listens on `addr` (IP:PORT), connecting
-   if there is none. NULL if the address is malformed. */
+/* Returns the link to the peer that listens on `addr` (IP:PORT). If there is
+   none, creates one and begins to connect: the link may then not be connected
+   yet, and frames sent on it wait until it is. The hub owns the link, which is
+   valid until `down` was called for it. Returns NULL if the address is
+   malformed. */
 WPLink *wp_hub_get_link(WPHub *h, const char *addr);
 
 /* Sends a frame. */
--- a/io/wp_log.h
+++ b/io/wp_log.h
@@ -24,7 +24,7 @@
 
 /* `box` is the box id that each line carries; it must outlive the log. `level`,
    the lowest one logged, is debug, info, warn or error (info if it is none of
-   these); `format` is kv or json. */
+   these); `format` is json, or kv, which any other text stands for as well. */
 void wp_log_init(WPLog *l, const char *box, const char *level,
                  const char *format);
 
--- a/io/wp_notice_updates.c
+++ b/io/wp_notice_updates.c
@@ -106,6 +106,8 @@
     }
 }
 
+/* Sends the other boxes, in one message, the limits, demand rates, draining
+   endpoints and back-offs that are unsent. */
 static void on_send(evutil_socket_t fd, short what, void *arg)
 {
     WPNoticeUpdates *n = arg;
--- a/io/wp_peers.c
+++ b/io/wp_peers.c
@@ -13,8 +13,8 @@
     /* a hop takes a tick and an answer, some 60 ms, and a zone of 500 boxes
        has five hops */
     PARENT_WAIT_MS = 500,
-    /* no full pull from other zones for so long after a box has named others
-       of the own zone to ask */
+    /* time after a box has named others of the own zone to ask, during which
+       there is no full pull from other zones */
     REMOTE_RETRY_MS = 600,
     /* PULL_RETRY_MS for a pull of all entries: 0.6 MB for three thousand,
        over links of 10 Mbit/s */
@@ -55,6 +55,9 @@
         send_digest(l, arg);
 }
 
+/* Notes the revision and state of the store that a peer has sent. If its
+   revision is newer than this box's, the lag begins and this link is the one to
+   pull from. */
 static void handle_digest(WPPeers *p, WPLink *l, const Wp__MirrorDigest *d)
 {
     WPTime now = wp_clock_now(0);
@@ -76,6 +79,9 @@
     p->ahead_link_id = l->id;
 }
 
+/* Sends the entries changed since the revision of the pull. A full pull beyond
+   the limit of full synchronizations gets only the records of the boxes in the
+   peer's zone, which it may ask instead. */
 static void answer_pull(WPPeers *p, WPLink *l, const Wp__MirrorPull *pull)
 {
     Wp__Frame f = WP__FRAME__INIT;
@@ -95,6 +101,8 @@
     wp_mirror_delta_free(d);
 }
 
+/* Passes on the entries that a peer has sent, unless they begin after this
+   box's revision. After a partial answer the next pull may follow at once. */
 static void handle_delta(WPPeers *p, WPLink *l, const Wp__MirrorDelta *d)
 {
     Wp__MirrorDelta *decompressed =
@@ -117,6 +125,8 @@
     wp_pb_free(decompressed);
 }
 
+/* Handles a frame of another box: the store's digests, pulls and deltas here,
+   updates by the callbacks of the user. */
 static void on_frame(void *arg, WPLink *l, Wp__Frame *f)
 {
     WPPeers *p = arg;
@@ -330,6 +340,8 @@
            wp_mirror_complete_revision(p->mirror) && lag_ms < PARENT_WAIT_MS;
 }
 
+/* Asks one peer for the missing entries, if this box has lagged behind for
+   `pull_delay_ms` and the last pull is long enough ago. */
 static void pull(WPPeers *p, WPTime now)
 {
     uint64_t complete = wp_mirror_complete_revision(p->mirror);
--- a/io/wp_peers.h
+++ b/io/wp_peers.h
@@ -46,6 +46,8 @@
 WPPeers *wp_peers_new(struct event_base *base, const Wp__DirectSettings *s,
                       WPMirror *mirror, const WPPeersOps *ops, void *arg,
                       GError **error);
+
+/* Closes the listener and all links to other boxes. */
 void wp_peers_free(WPPeers *p);
 
 /* Adds a box, or updates its zone and the address (IP:PORT) to dial. */
@@ -144,9 +146,10 @@
                               const char *zone);
 void wp_peers_each_linked(WPPeers *p, WPPeersEachFn fn, void *arg);
 
-/* Calls `fn` for each other known box, linked or not. wp_peers_generation()
-   increases whenever that set changes. */
+/* Calls `fn` for each other known box, linked or not. */
 void wp_peers_each_member(WPPeers *p, WPPeersEachFn fn, void *arg);
+
+/* Returns a number that increases whenever the set of known boxes changes. */
 uint32_t wp_peers_generation(const WPPeers *p);
 
 /* Returns the bytes sent to and received from other boxes. */
--- a/io/wp_peers_connect.c
+++ b/io/wp_peers_connect.c
@@ -15,8 +15,8 @@
 
 enum {
     WATCHERS = 1, /* boxes of a zone that watch the store for all */
-    /* of the boxes that the store does not answer, so many keep polling it;
-       they inform the others */
+    /* number of the boxes that the store does not answer which keep polling
+       it; they inform the others */
     POLLERS_WITHOUT_STORE = 2,
     /* additional watchers for each box that the store has stopped answering:
        a box takes 2.5 s to notice that it is cut off, so two such delays in
@@ -183,7 +183,9 @@
     return lacks_store(p, m, now) && wp_peers_is_before(p, m);
 }
 
-/* Whether this box keeps links to other zones. */
+/* Whether this box keeps links to other zones: wp_peers_set_remote_links() has
+   allowed it, or fewer than REMOTE_LINK_BOXES live boxes of its zone precede it
+   in the order of wp_peers_is_before(). */
 static bool needs_remote_links(const WPPeers *p, WPTime now)
 {
     return p->remote_links ||
--- a/io/wp_peers_int.h
+++ b/io/wp_peers_int.h
@@ -8,7 +8,7 @@
 #include "wp_full_sync_limit.h"
 
 enum {
-    /* a link that is silent for so long is closed */
+    /* time without data after which a link is closed */
     WP_PEERS_SILENCE_TIMEOUT_MS = 3000,
     /* between attempts to connect to the same box */
     WP_PEERS_RECONNECT_MS = 1000,
@@ -52,8 +52,8 @@
     bool digest_due;          /* a digest is to be sent with the next tick */
     /* digests are sent every 250 ms instead of every second */
     bool fast_digests;
-    /* a revision may be missing for so long before it is pulled from another
-       box */
+    /* time for which a revision may be missing before it is pulled from
+       another box */
     uint32_t pull_delay_ms;
     WPLag lag; /* revisions that others have and this box lacks */
     int64_t pulled_us;
--- a/io/wp_peers_relay.c
+++ b/io/wp_peers_relay.c
@@ -12,12 +12,12 @@
 enum {
     FANOUT = 4,                   /* children of a box */
     SUBSCRIBE_INTERVAL_MS = 1000, /* between subscriptions */
-    SUBSCRIPTION_MS = 2500,       /* a subscription lasts so long */
+    SUBSCRIPTION_MS = 2500,       /* lifetime of a subscription */
     /* of the relay root to each other zone: one of them may lead to a box
        that is cut off */
     USAGE_LINKS = 2,
-    /* the next box takes over from a root that cannot be reached for so
-       long; until then each box knows its own requests only */
+    /* time for which a root cannot be reached before the next box takes over;
+       until then each box knows its own requests only */
     TAKEOVER_MS = 1500
 };
 
@@ -224,6 +224,8 @@
     GHashTable *zones;
 } SendUsage;
 
+/* Sends the message on the link if that leads to the relay root, or, at the
+   root itself, to another zone that has not yet got it on USAGE_LINKS links. */
 static void send_usage(void *arg, WPLink *l)
 {
     const SendUsage *s = arg;
--- a/io/wp_relay.c
+++ b/io/wp_relay.c
@@ -21,6 +21,8 @@
     r->upstream_conn = NULL;
 }
 
+/* Cancels the running attempt, if any, and frees the request; its caller's
+   connection stays. */
 static void free_relay(WPRelay *r)
 {
     cancel_attempt(r);
@@ -249,6 +251,8 @@
         wp_sync_schedule_notices(r->host->sync);
 }
 
+/* The head of an attempt's answer has come. The flow decides at once on a
+   stream that succeeds; any other answer is read to its end first. */
 static void on_head(void *arg, const WPHead *h)
 {
     WPRelay *r = arg;
@@ -501,6 +505,8 @@
     }
 }
 
+/* A caller's request has arrived completely: refuses it if it is invalid, else
+   begins its flow and carries out the first action. */
 static void on_request(void *arg, WPDownstreamConn *p, const WPHead *head)
 {
     WPDirectHost *h = arg;
--- a/io/wp_reply.c
+++ b/io/wp_reply.c
@@ -48,6 +48,8 @@
     wp_http_reply_json(r, info->status, error_json(code, retry_ms, detail, q));
 }
 
+/* Adds the headers of an answer from an endpoint; a new session token goes into
+   a header and a cookie. */
 static void add_answer_headers(WPExchange *x)
 {
     const WPRequest *q = x->request;
--- a/io/wp_reports.c
+++ b/io/wp_reports.c
@@ -73,6 +73,8 @@
     }
 }
 
+/* The lease's record was written or not: tells the lease, and applies the
+   present value of the store. */
 static void on_written(void *arg, const WPKvResult *res)
 {
     WPReports *r = arg;
@@ -105,6 +107,8 @@
     s->kv->ops->txn(s->kv, &compare, 1, &op, 1, on_written, r);
 }
 
+/* The usage report was answered with `status`, 0 for no answer: counts and logs
+   that, and tells the lease whether it was accepted. */
 static void on_sent(void *arg, int status, WPStr body)
 {
     WPReports *r = arg;
--- a/io/wp_request_parse.c
+++ b/io/wp_request_parse.c
@@ -55,6 +55,9 @@
     return NULL;
 }
 
+/* Reads the workspace, labels, deadline, idempotency key and session from the
+   request's headers into `out`. Returns WP_OK, or the error code of a request
+   to be refused, with `detail` set if there is more to say. */
 static WPCode read_headers(const WPPolicy *p, struct evhttp_request *r,
                            WPParsedRequest *out, const char **detail)
 {
--- a/io/wp_runner.c
+++ b/io/wp_runner.c
@@ -99,6 +99,8 @@
     owner->starting_jobs = false;
 }
 
+/* Sets the tokens of prompt and answer to bill: as the engine reported them,
+   else the number of events of a stream, else one call. */
 static void usage_of(const WPRun *r, uint32_t *prompt, uint32_t *answer)
 {
     const Wp__Start *s = r->job->start;
@@ -189,6 +191,8 @@
     start_ready_jobs(owner);
 }
 
+/* Handles the frames of entries: starts and cancels runs, takes in handovers of
+   idempotency keys, and widens the flow-control window of a run. */
 static void role_frame(void *role, WPLink *l, Wp__Frame *f)
 {
     WPRunner *owner = role;
--- a/io/wp_runner.h
+++ b/io/wp_runner.h
@@ -11,6 +11,9 @@
 /* Creates the runner and its agent and registers it as the role of the host.
    Returns NULL and sets `error` if the endpoint's address is malformed. */
 WPRunner *wp_runner_new(WPHost *h, const Wp__AgentSettings *s, GError **error);
+
+/* Ends all runs, removes the runner as the role of its host, and frees it. NULL
+   does nothing. */
 void wp_runner_free(WPRunner *r);
 
 #endif
--- a/io/wp_runner_int.h
+++ b/io/wp_runner_int.h
@@ -68,8 +68,11 @@
 
 /* Continues to read an answer that was paused, if the window allows it. */
 void wp_engine_resume(WPRun *r);
+
+/* Closes failed connections and all idle ones. */
 void wp_engine_close_idle(WPRunner *r);
-/* closes failed connections and surplus idle ones */
+
+/* Closes failed connections and surplus idle ones. */
 void wp_engine_close_surplus(WPRunner *r);
 
 #endif
--- a/io/wp_server.c
+++ b/io/wp_server.c
@@ -36,6 +36,9 @@
     }
 }
 
+/* Returns the exchange for a caller's request, added to the server's list.
+   Takes a reference to the parsed JSON body, or copies a body of another type.
+ */
 static WPExchange *new_exchange(WPServer *s, struct evhttp_request *r,
                                 WPParsedRequest *text)
 {
@@ -89,6 +92,8 @@
 typedef WPCode (*ParseFn)(const WPPolicy *p, struct evhttp_request *r,
                           WPParsedRequest *out, const char **detail);
 
+/* Parses a request and begins it, or answers it at once with an error if it is
+   invalid or this box cannot serve. */
 static void serve(WPServer *s, struct evhttp_request *r, ParseFn parse)
 {
     WPParsedRequest text = { 0 };
@@ -246,6 +251,8 @@
     json_object_set_new(into, "requests", json_integer((json_int_t)open));
 }
 
+/* Answers /v1/why: which versions may serve such a request, and why. Returns
+   false for any other path. */
 static bool role_admin(void *role, struct evhttp_request *r, const char *path)
 {
     WPServer *s = role;
--- a/io/wp_server.h
+++ b/io/wp_server.h
@@ -12,6 +12,9 @@
    Returns NULL and an error if the chart cannot be read, the entry's settings
    are invalid or the port cannot be used. */
 WPServer *wp_server_new(WPHost *h, const Wp__EntrySettings *s, GError **error);
+
+/* Ends all exchanges, removes the server as the role of its host, and frees it.
+   NULL does nothing. */
 void wp_server_free(WPServer *s);
 
 #endif
--- a/io/wp_server_int.h
+++ b/io/wp_server_int.h
@@ -59,7 +59,7 @@
 /* Cancels the current attempt, if there is one, at its agent. */
 void wp_exchange_cancel(WPExchange *x);
 
-/* Allows the agent to send so many bytes more. Grants are collected until they
+/* Allows the agent to send `bytes` bytes more. Grants are collected until they
    are a quarter of the flow control window. */
 void wp_exchange_grant(WPExchange *x, size_t bytes);
 
--- a/io/wp_shift_records.c
+++ b/io/wp_shift_records.c
@@ -98,6 +98,8 @@
                            .old_failed = m->old_failed };
 }
 
+/* The write of a shift record has ended: applies the record, or, after a
+   conflict, the present value of its key. */
 static void on_written(void *arg, const WPKvResult *r)
 {
     WPSync *s = arg;
@@ -134,6 +136,9 @@
     all->n++;
 }
 
+/* Writes this box's record of a running shift: the time elapsed, and the answer
+   counts by incarnation, its own and those of other boxes. The write is
+   conditional on the known revision of the record. */
 static void write_record(WPSync *s, const WPShift *sh, WPTime now)
 {
     WPShiftRecords *v = s->shift_records;
--- a/io/wp_store_apply.c
+++ b/io/wp_store_apply.c
@@ -29,6 +29,8 @@
            problem, NULL);
 }
 
+/* Adds or updates a registered endpoint; an invalid entry is rejected and
+   logged. Logs only what has changed. */
 static void apply_endpoint(WPSync *s, const char *key, const WPRegistryEntry *l)
 {
     const char *problem = wp_registry_entry_invalid_field(l);
--- a/io/wp_store_writer.c
+++ b/io/wp_store_writer.c
@@ -19,6 +19,8 @@
     BOXES_PER_TXN = 16
 };
 
+/* A write has ended. After a conflict the present values of its keys are
+   applied; the next write waits for RETRY_MS in any case. */
 static void on_written(void *arg, const WPKvResult *r)
 {
     WPSync *s = arg;
@@ -46,7 +48,8 @@
     s->kv->ops->txn(s->kv, compares, n_compares, ops, n, on_written, s);
 }
 
-/* Returns the condition that a key is unchanged since this box read it. */
+/* Returns the condition that a key is unchanged since this box read it, or, if
+   this box knows of no such key, that the store has none. */
 static WPKvCompare unchanged_since_read(const WPSync *s, const char *key)
 {
     return (WPKvCompare){ key, wp_mirror_key_revision(s->mirror, key) };
--- a/io/wp_suspect_updates.c
+++ b/io/wp_suspect_updates.c
@@ -25,7 +25,7 @@
     /* in the store. XXX: crashes of further requests are known to processes
        only */
     RECORDS_MAX = 256,
-    /* a record is updated until it holds so many crashes */
+    /* number of crashes up to which a record in the store is updated */
     CRASHES_MAX = WP_SUSPECT_QUARANTINE_CRASHES + 1,
     /* between messages: what one crash causes goes into the first */
     MIN_INTERVAL_MS = 20,
@@ -168,10 +168,10 @@
 /* Contents of a record; zeros if there is none. */
 typedef struct Recorded {
     bool is_there;
-    unsigned half_crashes,
-        /* crashes in halves, as weak ones count half in
-           wp_suspect_crash_count(); probes */
-        tries;
+    /* crashes in halves, as weak ones count half in
+       wp_suspect_crash_count() */
+    unsigned half_crashes;
+    unsigned tries; /* probes */
 } Recorded;
 
 static Recorded read_record(const WPSync *s, const char *key)
@@ -221,6 +221,9 @@
     return now.mono_us >= *due;
 }
 
+/* Selects the record for `l` if the store's copy lacks crashes or probes, or is
+   to be removed, and this box is due to write. The first such record is taken.
+ */
 static void scan_suspect(void *arg, const WPSuspect *p)
 {
     Scan *l = arg;
@@ -250,6 +253,8 @@
     g_clear_pointer(&d->value, g_byte_array_unref);
 }
 
+/* The write or removal of a record has ended: applies it, or, after a conflict,
+   the present value of its key. */
 static void on_written(void *arg, const WPKvResult *r)
 {
     WPSync *s = arg;
@@ -269,6 +274,8 @@
     clear(d);
 }
 
+/* Writes the selected record to the store, or removes it, on the condition that
+   its key has the known revision. The copy in flight is left out. */
 static void write_record(WPSync *s, const Scan *l)
 {
     WPSuspectUpdates *d = s->suspect_updates;
--- a/io/wp_sync.c
+++ b/io/wp_sync.c
@@ -47,6 +47,8 @@
     return now;
 }
 
+/* Notes whether the store has answered. A change is logged and sent to the
+   other boxes. */
 static void set_store_up(WPSync *s, bool up)
 {
     int64_t now_us = time_of(s).mono_us;
@@ -153,6 +155,8 @@
     wp_peers_schedule_digest(s->peers);
 }
 
+/* Applies an event of the watch on the store, or repeats the watch or the read
+   after it is lost. */
 static void on_event(void *arg, WPKvWatchEvent what, const WPKvItem *item)
 {
     WPSync *s = arg;
@@ -208,6 +212,8 @@
     watch_from(s, wp_mirror_complete_revision(s->mirror) + 1, true);
 }
 
+/* All entries were read, or the read has failed. Applies them, removes those
+   that are gone, admits held requests and goes on with the watch. */
 static void on_range(void *arg, const WPKvResult *r)
 {
     WPSync *s = arg;
--- a/io/wp_sync_peers.c
+++ b/io/wp_sync_peers.c
@@ -20,6 +20,8 @@
                    item->lapsed);
 }
 
+/* Applies the entries that another box has sent. Unless they are only a part of
+   the state, this box has caught up then, and admits held requests. */
 static void on_delta(void *arg, const char *from, const Wp__MirrorDelta *d)
 {
     WPSync *s = arg;
--- a/io/wp_upstream.c
+++ b/io/wp_upstream.c
@@ -113,6 +113,12 @@
     return g_ascii_strtod(named ? named + strlen("timeout=") : text, NULL);
 }
 
+/* The head of a response has been parsed; `arg` is the connection
+   (WPUpstreamConn). Notes whether and how long the connection may be reused. If
+   the response answers the request in flight, passes the head to `ops->head`;
+   other responses, among them interim ones (1xx), are read and discarded.
+   Returns false if no body is to be read although the head may announce one:
+   the answer to a HEAD request. */
 static bool on_answer_head(void *arg, const WPHead *h)
 {
     WPUpstreamConn *c = arg;
@@ -229,6 +235,8 @@
         wp_fleet_idle_connection_lost(c->to, now);
 }
 
+/* The connection was established, or has ended. An end of file may complete an
+   answer without a length; otherwise the request in flight is lost. */
 static void on_event(struct bufferevent *bev, short what, void *arg)
 {
     WPUpstreamConn *c = arg;
@@ -256,6 +264,8 @@
     fail_request(arg);
 }
 
+/* Begins to connect to the endpoint, with the time-out `connect_ms`. Returns
+   NULL if its address is malformed. */
 static WPUpstreamConn *new_conn(WPUpstream *b, WPReplica *to)
 {
     struct bufferevent *bev =
--- a/io/wp_usage_updates.c
+++ b/io/wp_usage_updates.c
@@ -58,6 +58,8 @@
     return r->life == c->incarnation && r->window == c->window;
 }
 
+/* The message's row for the incarnation and window of the count, added if the
+   last row is of another one. Sends the message before, if it is full. */
 static Wp__UsageRow *row_for(Message *m, const WPUsageCount *c)
 {
     if (m->n_cells == CELLS_MAX)
--- a/src/wp_agent.c
+++ b/src/wp_agent.c
@@ -102,6 +102,8 @@
     return g_strv_contains((const char *const *)a->versions, version);
 }
 
+/* Whether the configuration lets a request of this workspace, kind and labels
+   go to the version that it was sent for. */
 static bool version_allowed(const WPAgent *a, const Wp__Start *s,
                             const WPWorkspace *ws, const WPKind *kind)
 {
@@ -144,6 +146,10 @@
            !a->guard_off[WP_GUARD_ONCE];
 }
 
+/* Checks and records the idempotency key of a request that needs one. Refuses
+   if another agent owns the key, if the handover of its records is still
+   pending, or if the key was used before; `holds_key` tells that the key is
+   recorded as running for this job. */
 static WPAgentDecision check_key(WPAgent *a, WPTime now, WPJob *j)
 {
     const Wp__Start *s = j->start;
@@ -192,6 +198,8 @@
                          : INT64_MAX;
 }
 
+/* Offers the job to the queue. If that refuses it, releases its key; if another
+   job was evicted for it, releases that one's key and adds it to `refused`. */
 static WPAgentDecision enqueue(WPAgent *a, WPTime now, WPJob *j)
 {
     WPTicket *evicted;
@@ -213,6 +221,9 @@
                               WP_OK, 0 };
 }
 
+/* Decides on a job: refuses it, holds it until the configuration that its entry
+   used is known here, or checks the rules and its key and offers it to the
+   queue. */
 static WPAgentDecision admit(WPAgent *a, WPTime now, WPJob *j)
 {
     if (a->draining && !a->guard_off[WP_GUARD_LEAVING])
@@ -275,6 +286,9 @@
     g_free(j);
 }
 
+/* Returns the first held job whose configuration is known now, with the
+   decision on it, or that has waited for longer than WP_CONFIG_WAIT_MS, with a
+   refusal; NULL if there is none. */
 static WPJob *next_held(WPAgent *a, WPTime now, WPAgentDecision *v)
 {
     wp_list_each (it, &a->held) {
@@ -291,6 +305,9 @@
     return NULL;
 }
 
+/* Returns the queued job whose turn it is, NULL if there is none. The rules may
+   have changed while it waited: `v` then refuses it, and its key is released.
+ */
 static WPJob *next_queued(WPAgent *a, WPTime now, WPAgentDecision *v)
 {
     WPTicket *t = wp_queue_start_next(a->queue, now.mono_us);
--- a/src/wp_allow.c
+++ b/src/wp_allow.c
@@ -82,6 +82,8 @@
     return known;
 }
 
+/* One line of text on whether requests with these labels may go to the version,
+   with the selectors that decide it. Free with g_free(). */
 static char *explain_version(const WPPolicy *p, const WPVersion *v,
                              const WPLabels *own, const WPLabels *req)
 {
--- a/src/wp_balance.c
+++ b/src/wp_balance.c
@@ -41,6 +41,8 @@
     return other > 0 ? other * exp(-age / (4 * service)) : 0;
 }
 
+/* Predicted time to the first token, in microseconds, at an endpoint that has
+   `requests` requests running or queued. */
 static double predicted_wait(const WPEndpoint *e, double requests,
                              int64_t now_us)
 {
@@ -217,6 +219,8 @@
     return n ? c[g_rand_int_range(b->rand, 0, (gint)n)] : NULL;
 }
 
+/* The next usable endpoint, local or remote, that this request has not tried;
+   NULL if there is none. */
 static WPEndpoint *pick_round_robin(WPBalancer *b, const WPPickQuery *p)
 {
     unsigned n = p->n_local + p->n_remote;
@@ -230,6 +234,8 @@
     return NULL;
 }
 
+/* The candidate whose last load report has the least load, as requests running
+   plus queued; NULL if there is none. */
 static WPEndpoint *pick_least_reported(WPBalancer *b, const WPPickQuery *p)
 {
     WPEndpoint *c[2 * WP_PICK_MAX];
@@ -253,6 +259,8 @@
     return x->inflight <= y->inflight ? x : y;
 }
 
+/* The candidate with the shortest wait in a random sample of the `n`
+   candidates; NULL if there are none. Reorders `c`. */
 static WPEndpoint *least_wait(WPBalancer *b, const WPPickQuery *p,
                               WPEndpoint **c, unsigned n)
 {
@@ -291,6 +299,9 @@
     return affine;
 }
 
+/* The local candidate with the shortest wait; a remote one with a shorter wait
+   if the local one has no free slot. The affinity endpoint is preferred if it
+   has a free slot and waits at most AFFINITY_BOUND times as long. */
 static WPEndpoint *pick_probe(WPBalancer *b, const WPPickQuery *p)
 {
     WPEndpoint *c[2 * WP_PICK_MAX];
--- a/src/wp_balance.h
+++ b/src/wp_balance.h
@@ -7,7 +7,7 @@
 #include "wire.pb-c.h"
 #include "wp_policy.h"
 
-/* What one entry knows of one agent and the endpoint behind it. */
+/* The state, known to one entry, of one agent and the endpoint behind it. */
 typedef struct WPEndpoint {
     /* The agent's box id; owned by the entry's endpoint table. */
     const char *id;
--- a/src/wp_bill.c
+++ b/src/wp_bill.c
@@ -90,6 +90,8 @@
     b->interval_us = MAX(b->min_interval_us, share);
 }
 
+/* Moves up to WP_BILL_BATCH_MAX pending bills into the next batch, with its key
+   and serialized value. There must be a pending bill. */
 static void make_batch(WPBills *b)
 {
     Wp__BillBatch m = WP__BILL_BATCH__INIT;
--- a/src/wp_bill.h
+++ b/src/wp_bill.h
@@ -36,7 +36,8 @@
    returns. */
 uint64_t wp_bills_add(WPBills *b, WPTime now, const Wp__Bill *bill);
 
-/* Whether so many bills are pending that no more requests are to be taken. */
+/* Whether the number of pending bills has reached the limit given to
+   wp_bills_new(), so that no more requests are to be taken. */
 bool wp_bills_full(const WPBills *b);
 
 /* How many bills are not known to be in the store. */
--- a/src/wp_canary_judge.h
+++ b/src/wp_canary_judge.h
@@ -22,8 +22,9 @@
     /* Answers of loaded replicas (utilization of a half or more), those of them
        that failed, and the number of replicas on which some of those failed. */
     uint32_t loaded, loaded_failed, loaded_bad_replicas;
-    /* Whether a box saw failures, or slow answers, on so many endpoints that
-       they are the version's fault and not that of some endpoints. */
+    /* Whether a box saw failures, or slow answers, on enough endpoints, by
+       number and by share of the version's, to blame the version and not some
+       endpoints. */
     bool failures_widespread, slowness_widespread;
     /* In the sums of a new version: answers of the old version at the same
        boxes, and those of them that failed. */
@@ -57,7 +58,7 @@
    is left to the choice of endpoints to avoid them. */
 enum { WP_CANARY_MIN_BAD_REPLICAS = 2 };
 
-/* What makes a version bad. */
+/* The reason to judge a version bad. */
 typedef enum WPVersionFault {
     WP_VERSION_FAULT_NONE,
     WP_VERSION_FAULT_FAILS,
--- a/src/wp_choose.c
+++ b/src/wp_choose.c
@@ -134,6 +134,8 @@
     return a * (1 + CHECK_COST_SHARE) + (1 - bound(c, cheap)->mean) * b < b;
 }
 
+/* The policy "cost": the best version, or a version to explore, or a cheap one
+   with escalation to the best one if that is expected to cost less. */
 static WPVersionChoice choose_cost(const WPChooser *self,
                                    const WPVersionQuery *c)
 {
--- a/src/wp_choose.h
+++ b/src/wp_choose.h
@@ -1,6 +1,6 @@
-/* Choice of the version that serves a request. Policies share one table of
- * functions, so that the product's own and the baselines are benchmarked
- * alike. */
+/* Choice of the version that serves a request. All policies implement
+ * one type of function table, WPChooserOps, so that the product's own and the
+ * baselines are benchmarked alike. */
 #ifndef WP_CHOOSE_H
 #define WP_CHOOSE_H
 
--- a/src/wp_clock_monitor.h
+++ b/src/wp_clock_monitor.h
@@ -12,7 +12,7 @@
                           time */
 } WPClockMonitor;
 
-/* What happened to the clocks since the sample before. */
+/* Steps and pauses of the clocks since the sample before. */
 typedef struct WPClockSample {
     int64_t step_ms;  /* by how much the wall clock was set forward or, if
                          negative, back; 0: by less than a quarter second */
--- a/src/wp_config_validate.c
+++ b/src/wp_config_validate.c
@@ -82,6 +82,8 @@
     return v >= 0 && v <= 1;
 }
 
+/* Notes a problem for each version or kind with a value out of range, and for a
+   kind that escalates although it is not repeatable. */
 static void check_values(CheckContext *c)
 {
     for (unsigned i = 0; i < wp_policy_versions(c->p); i++) {
--- a/src/wp_counters.c
+++ b/src/wp_counters.c
@@ -50,6 +50,8 @@
     return 0;
 }
 
+/* Appends the histogram in the text format of Prometheus; empty buckets are
+   left out. */
 static void histogram_text(const WPHistogram *h, const char *name,
                            const char *labels, GString *out)
 {
--- a/src/wp_demand_quota.c
+++ b/src/wp_demand_quota.c
@@ -132,6 +132,9 @@
     return false;
 }
 
+/* Fills the weights of all zones with boxes, for the service. The own zone's is
+   the rate that was sent to the other zones, so that all zones compute the same
+   shares; while none was sent lately, the sum of its boxes' weights. */
 static void weigh_zones(WPDemand *d, WPTime now, const WPPaceBoxes *b,
                         WPDemandService *s)
 {
--- a/src/wp_direct.h
+++ b/src/wp_direct.h
@@ -65,7 +65,7 @@
    which was replaced never comes back into force. */
 bool wp_direct_set_routes(WPDirect *d, WPRoutes *t);
 
-/* What is sent to the other boxes about a session. */
+/* The state of a session that is sent to the other boxes. */
 typedef enum WPSessionUpdate {
     /* it was lately on the old version and stays there; sent while a shift is
        in its first half */
@@ -83,8 +83,8 @@
                                       WPSessionUpdate what, uint64_t *out,
                                       size_t max);
 
-/* Takes in what another box has sent of a session. What this box knows from its
-   own requests prevails. */
+/* Merges the state of a session that another box has sent. The state known from
+   this box's own requests prevails. */
 void wp_direct_merge_session(WPDirect *d, WPTime now, WPSessionUpdate what,
                              uint64_t session);
 
@@ -106,13 +106,13 @@
     uint32_t answer_tokens; /* the caller's estimate, or the maximum that it
                                allows */
     uint32_t deadline_ms;   /* how long the caller waits; 0: not known */
-    /* this box stops in so many; 0: it is not draining */
+    /* milliseconds until this box stops; 0: it is not draining */
     uint32_t box_stops_in_ms;
     bool resumes; /* the caller resumes a stream after `after_event` */
     uint64_t after_event;
 } WPDirectRequest;
 
-/* What is to be done next for a request. */
+/* The next action for a request. */
 typedef enum WPFlowActionKind {
     WP_FLOW_SEND, /* send it to `replica`, to which the flow holds a reference
                      until the attempt has ended */
@@ -257,7 +257,8 @@
 /* The time for which a request was held is over: refuses it. */
 void wp_flow_hold_timeout(WPFlow *f, WPFlowAction *out);
 
-/* What the head of an answer has changed in the known state of its endpoint. */
+/* Changes in the known state of an endpoint, caused by the head of its
+   answer. */
 typedef struct WPHeadChanges {
     bool draining; /* it drains now, and did not before */
     bool backoff;  /* the same of a back-off that it asks for */
@@ -268,8 +269,8 @@
                               logged; NULL: none */
 } WPHeadChanges;
 
-/* The head of any answer to this attempt has come. What it reports of its
-   endpoint counts from now on, whatever becomes of the answer. */
+/* The head of any answer to this attempt has come. Its report on the endpoint
+   counts from now on, whatever becomes of the answer. */
 void wp_flow_on_head(WPFlow *f, WPTime now, const WPDirectAnswer *a,
                      WPHeadChanges *out);
 
--- a/src/wp_direct_int.h
+++ b/src/wp_direct_int.h
@@ -26,8 +26,8 @@
 /* The retry budget of a service. */
 WPRetryBudget *wp_direct_retry_budget(WPDirect *d, const char *service);
 
-/* What was learned of a model's times; `what` is a service, for streams, or a
-   route, for answers that are not streamed. */
+/* The learned models of a model's answer times; `what` is the name of a
+   service, for streams, or of a route, for answers that are not streamed. */
 WPTtfbModel *wp_direct_ttfb_model(WPDirect *d, const char *what, WPStr model);
 WPQuartiles *wp_direct_quartiles(WPDirect *d, const char *what, WPStr model);
 
--- a/src/wp_entry.c
+++ b/src/wp_entry.c
@@ -109,6 +109,9 @@
     return e->bounds;
 }
 
+/* Returns a request with a new id and the parameters' values; it takes over the
+   labels. One that is not repeatable and has no idempotency key gets its id as
+   the key. */
 static WPRequest *new_request(WPEntry *e, WPTime now,
                               const WPRequestParams *params)
 {
@@ -166,6 +169,8 @@
     g_free(r);
 }
 
+/* Counts the outcome of a finished request in the metrics, and adds an event.
+ */
 static void count_final(WPEntry *e, WPTime now, const WPRequest *r, WPCode code)
 {
     WPCounters *c = wp_node_counters(e->node);
--- a/src/wp_entry.h
+++ b/src/wp_entry.h
@@ -12,7 +12,7 @@
 
 enum { WP_REQUEST_ATTEMPTS_MAX = 4 }; /* attempts in a step of the cascade */
 
-/* What a caller has sent, as far as decisions need it. */
+/* Parameters of a caller's request, as far as decisions need them. */
 typedef struct WPRequestParams {
     const WPWorkspace *workspace; /* of wp_entry_policy() */
     const WPKind *kind;
@@ -67,7 +67,7 @@
     uint32_t last_retry_ms;
 } WPRequest;
 
-/* What is to be done next for a request. */
+/* The next action for a request. */
 typedef enum WPEntryActionKind {
     WP_ENTRY_SEND,       /* send a Start message to the agent of `endpoint` */
     WP_ENTRY_FAIL,       /* end the request with `code` */
@@ -107,8 +107,8 @@
                           WPEntryAction *action);
 void wp_request_free(WPRequest *r);
 
-/* What has happened to the present attempt. Each function returns the next
-   action, where there is one.
+/* Events of the present attempt. Each function returns the next action, where
+   there is one.
 
    The agent has refused it; `ran` and `retry_ms` are from its Refuse
    message. */
--- a/src/wp_fleet.c
+++ b/src/wp_fleet.c
@@ -144,6 +144,8 @@
     wp_pace_boxes_set(&f->boxes, self, others, n, min);
 }
 
+/* Adds an endpoint to the indexes and to its service. Returns it; the fleet
+   holds the reference. */
 static WPReplica *add(WPFleet *f, const WPRegistryEntry *l)
 {
     WPReplica *s = g_new0(WPReplica, 1);
@@ -170,6 +172,8 @@
     return s;
 }
 
+/* Removes an endpoint from all indexes and drops the fleet's reference;
+   requests in flight may hold others. */
 static void remove_endpoint(WPFleet *f, WPReplica *s)
 {
     s->gone = true;
--- a/src/wp_fleet.h
+++ b/src/wp_fleet.h
@@ -83,8 +83,8 @@
 /* Whether requests may be sent to a version now. */
 typedef bool (*WPVersionFilterFn)(void *arg, const char *version);
 
-/* What a request requires of an endpoint, and what the endpoints' scores
-   depend on. */
+/* The requirements of a request on its endpoint, and the properties of the
+   request that the endpoints' scores depend on. */
 typedef struct WPEndpointQuery {
     const char *service;
     const char *version; /* only this one; NULL: those that `allowed` admits */
@@ -316,7 +316,7 @@
     WP_LIMIT_REPORT_INVALID
 } WPLimitChange;
 
-/* What an answer reports about its endpoint's rate limit. */
+/* The report of an answer about its endpoint's rate limit. */
 typedef struct WPLimitReport {
     WPLimitField field;
     /* The answer carries the endpoint's seal: only then the absence of the
--- a/src/wp_fleet_learn.c
+++ b/src/wp_fleet_learn.c
@@ -13,8 +13,9 @@
     RESTART_FAILURES = 2
 };
 
-/* A version fails under load if at least so many answers of loaded endpoints
-   failed, at least this share of them, and hardly any of the others. Versions
+/* A version fails under load if at least LOADED_FAILED_MIN answers of loaded
+   endpoints failed, which are at least LOADED_FAILED_SHARE of them, and at most
+   LIGHT_FAILED_SHARE of the answers of the other endpoints. Versions
    may fail on half-full endpoints. As the requests of other boxes are not
    known at once, an endpoint counts as loaded from a somewhat lower
    utilization on, and is avoided from a lower one still (FULL_FROM in
@@ -157,8 +158,13 @@
 /* A shorter prefill is not worth an update to other boxes. */
 #define UPDATE_MIN_PREFILL_US (100 * WP_US_PER_MS)
 
-static void note_cached_prefix(WPFleet *f, const WPReplica *s,
-                               const WPEndpointQuery *q)
+/* Queues an update for the other boxes: the endpoint now has the shared part of
+   the request's prompt in its prefix cache. It goes to `unsent_prefixes`, for
+   the next digest, and to the batch of updates for the boxes of this zone.
+   Does nothing if the predicted prefill of that part is shorter than
+   UPDATE_MIN_PREFILL_US. The fleet's own record is made by the caller. */
+static void queue_prefix_update(WPFleet *f, const WPReplica *s,
+                                const WPEndpointQuery *q)
 {
     uint32_t shared = wp_prompt_shared_tokens(q->prompt);
     const WPTtfbInputs inputs = { .prompt_tokens = shared,
@@ -208,7 +214,7 @@
         return;
     wp_prefix_cache_set_capacity(s->prefix_cache, q->memory_tokens);
     wp_prefix_cache_add(s->prefix_cache, now, q->model, q->prompt);
-    note_cached_prefix(f, s, q);
+    queue_prefix_update(f, s, q);
 }
 
 void wp_fleet_first_byte(WPFleet *f, WPReplica *s, double prefill_us,
--- a/src/wp_fleet_limit.c
+++ b/src/wp_fleet_limit.c
@@ -72,7 +72,10 @@
     g_clear_pointer(&s->reported.limit, g_free);
 }
 
-static bool should_log_bad_field(WPLimit *l, WPTime now)
+/* Returns whether an invalid field of this endpoint is to be reported now: none
+   was reported for BAD_FIELD_INTERVAL_MS. If so, records `now` as the time of
+   the last report. */
+static bool claim_bad_field_report(WPLimit *l, WPTime now)
 {
     if (l->bad_field_reported_us &&
         now.mono_us - l->bad_field_reported_us <
@@ -111,7 +114,7 @@
     double per_s = named ? report->field.per_s : 0;
     l->answered_us = now.mono_us;
     bool invalid = report->field.status == WP_LIMIT_FIELD_INVALID &&
-                   should_log_bad_field(l, now);
+                   claim_bad_field_report(l, now);
     bool counts = named || report->genuine;
     if (counts && l->per_s != per_s &&
         !may_be_outdated(l, per_s, report->sent_us)) {
@@ -235,6 +238,8 @@
     }
 }
 
+/* Sum of the rate limits, in requests a second, of the endpoints of the service
+   and zone that `zone_key` is the hash of; computed again after SUM_TTL_MS. */
 static double zone_limit_per_s(WPFleet *f, WPTime now, uint64_t zone_key)
 {
     ZoneLimit *p = g_hash_table_lookup(f->limit_sums, &zone_key);
@@ -255,6 +260,9 @@
     return p->per_s;
 }
 
+/* This box's share, in requests, of a window of `part` requests of the
+   endpoint's limit; computed again after QUOTA_TTL_MS, or if `part` has
+   changed. */
 static unsigned quota_of(WPFleet *f, WPTime now, const WPReplica *s,
                          unsigned part)
 {
--- a/src/wp_fleet_notice.c
+++ b/src/wp_fleet_notice.c
@@ -19,8 +19,7 @@
     UNREGISTERED_TTL_S = 600
 };
 
-/* What an incarnation has reported that is not registered, at present or
-   yet. */
+/* The reports of an incarnation that is not registered, at present or yet. */
 typedef struct Unregistered {
     int64_t at_us;
     bool draining;
@@ -35,6 +34,8 @@
     return now->mono_us - u->at_us > (int64_t)UNREGISTERED_TTL_S * WP_US_PER_S;
 }
 
+/* The record of the incarnation, added if it is missing. If the table is full,
+   expired records are removed, or all if none has expired. */
 static Unregistered *get_unregistered(WPFleet *f, WPTime now,
                                       uint64_t incarnation)
 {
@@ -103,7 +104,7 @@
     WPReplica *l = registered_endpoint(f, s);
     if (!l)
         get_unregistered(f, now, s->incarnation_hash)->draining = true;
-    /* What the endpoint itself reports outlives its registry entry, so it
+    /* The report of the endpoint itself outlives its registry entry, so it
        replaces a state that came from the registry. */
     if (!l || l->reported.draining.source > WP_DRAINING_FROM_REGISTRY)
         return false;
--- a/src/wp_fleet_pick.c
+++ b/src/wp_fleet_pick.c
@@ -89,6 +89,9 @@
                : f->rules.slow_weight * (s->latency_ratio - 1);
 }
 
+/* The cost of sending the request to the endpoint, in score units; the lowest
+   is best. `cached`: tokens of the prompt in its prefix cache. `affine`: it is
+   the affinity replica of the prompt. */
 static double score(WPFleet *f, WPTime now, const WPEndpointQuery *q,
                     const WPReplica *s, uint32_t cached,
                     const WPCacheHolders *holders, bool affine)
@@ -176,6 +179,9 @@
            g_rand_double(f->rand) * n < f->rules.choices;
 }
 
+/* The endpoint of `list` with the lowest score, among those that match the
+   query, are sampled and are not excluded; NULL if there is none. The affinity
+   replica is always among the candidates. */
 static WPReplica *best_of(WPFleet *f, WPTime now, const WPEndpointQuery *q,
                           GPtrArray *list)
 {
--- a/src/wp_fleet_updates.c
+++ b/src/wp_fleet_updates.c
@@ -101,12 +101,16 @@
     return c;
 }
 
+/* Whether the endpoint counts in the averages of its cohort: it is in this
+   zone, is not draining and has reported its load lately. */
 static bool is_averaged(const WPReplica *s, const WPCohort *c, WPTime now)
 {
     return s->cohort == c && !s->remote_zone && !s->reported.draining.source &&
            s->slots && wp_fleet_is_load_fresh(s, now);
 }
 
+/* Computes the averages of utilization and queued prefill over a cohort; 0 if
+   no endpoint counts. */
 static void refresh_cohort(WPCohort *c, WPTime now, const GPtrArray *list)
 {
     double utilization = 0, queued_prefill_us = 0;
--- a/src/wp_flow.c
+++ b/src/wp_flow.c
@@ -159,6 +159,9 @@
     return true;
 }
 
+/* Sets the request's priority, and the workspace and areas of its caller.
+   Returns WP_NO_KEY if the route needs a key and the request has no known one.
+ */
 static WPCode check_caller(const WPDirect *d, WPFlow *f,
                            const WPDirectRequest *ask)
 {
@@ -176,6 +179,8 @@
     return WP_OK;
 }
 
+/* Finds the route, the caller and the service of a request. Returns WP_OK or
+   the error code to refuse it with. */
 static WPCode admit(WPFlow *f, const WPDirectRequest *ask)
 {
     WPDirect *d = f->direct;
--- a/src/wp_flow_int.h
+++ b/src/wp_flow_int.h
@@ -46,7 +46,7 @@
    endpoint is tried; 0: none. */
 uint32_t wp_flow_first_byte_timeout_ms(WPFlow *f);
 
-/* What the request requires of an endpoint with its present model. */
+/* The requirements of the request on an endpoint, with its present model. */
 WPEndpointQuery wp_flow_query(WPFlow *f);
 
 /* wp_flow_learn.c: what attempts show of endpoints and versions.
--- a/src/wp_flow_learn.c
+++ b/src/wp_flow_learn.c
@@ -1,4 +1,4 @@
-/* What the attempts of a request show: the speed and load of endpoints, and
+/* Learns from the attempts of a request: the speed and load of endpoints, and
  * whether a new version is bad or a version fails under load. */
 #include "wp_flow_int.h"
 
--- a/src/wp_flow_pick.c
+++ b/src/wp_flow_pick.c
@@ -43,7 +43,7 @@
     return wp_shift_allows(sh, version) && strcmp(version, sh->version);
 }
 
-/* What the request requires of an endpoint with this model. */
+/* The requirements of the request on an endpoint with this model. */
 static WPEndpointQuery query_for(WPFlow *f, WPStr model)
 {
     bool engine = f->route->retry_policy == WP_RETRY_STREAM;
--- a/src/wp_json.h
+++ b/src/wp_json.h
@@ -15,24 +15,25 @@
 /* 2^53: a double represents every integer up to this one exactly. */
 #define WP_JSON_INT_MAX 9007199254740992.0
 
-/* Returns a string that is not empty; records a problem and returns "" if the
-   field is anything else. */
+/* Returns a string that is not empty. Records a problem and returns "" if the
+   field is missing, empty or not a string. */
 const char *wp_json_string(WPJsonReader *o, const char *name);
 
-/* Returns an integer from `min` to WP_JSON_INT_MAX; records a problem and
-   returns 0 if the field is anything else. */
+/* Returns an integer from `min` to WP_JSON_INT_MAX. Records a problem and
+   returns 0 if the field is missing, not a number, not an integer or out of
+   that range. */
 int64_t wp_json_int(WPJsonReader *o, const char *name, double min);
 
-/* Returns an array; records a problem and returns NULL if the field is anything
-   else. */
+/* Returns an array, owned by the object. Records a problem and returns NULL if
+   the field is missing or not an array. */
 const json_t *wp_json_array(WPJsonReader *o, const char *name);
 
 /* Appends copies of the strings in an array to `out`, and records a problem for
    each element that is not a string. A missing field is no problem. */
 void wp_json_strings(WPJsonReader *o, const char *name, GPtrArray *out);
 
-/* Returns a number, or `absent` if the field is anything else. Records no
-   problem, so the caller has to check the value if it matters. */
+/* Returns a number, or `absent` if the field is missing or not a number.
+   Records no problem, so the caller has to check the value if it matters. */
 double wp_json_number(const json_t *j, const char *name, double absent);
 
 /* Like wp_json_number(), clamped to the range of the type. */
--- a/src/wp_labels.c
+++ b/src/wp_labels.c
@@ -192,6 +192,9 @@
     return true;
 }
 
+/* Parses one term of a selector: key in (values), key notin (values),
+   key=value, key==value, key!=value, key or !key. Returns false if it is
+   invalid. */
 static bool parse_term(WPStr t, Term *out)
 {
     static const struct {
--- a/src/wp_limit.h
+++ b/src/wp_limit.h
@@ -44,7 +44,7 @@
     int64_t length_us;
 } WPLimitWindow;
 
-/* What is known of the rate limit of one endpoint. Of two states the one with
+/* The known rate limit of one endpoint. Of two states the one with
    the higher (sequence, origin_box) is the newer one. */
 typedef struct WPLimit {
     double per_s;           /* 0: it sets none any more */
--- a/src/wp_mirror.c
+++ b/src/wp_mirror.c
@@ -147,6 +147,8 @@
     return i->compressed;
 }
 
+/* Sets the value of a wire item: as it is if `raw`, or if compression makes it
+   no smaller; else compressed, with its original size. It points into `i`. */
 static void fill_value(Wp__MirrorItem *w, WPMirrorItem *i, bool raw)
 {
     GBytes *sent = raw ? i->value : compressed_value(i);
--- a/src/wp_node_gossip.c
+++ b/src/wp_node_gossip.c
@@ -63,6 +63,8 @@
     wp_pb_free(m.full);
 }
 
+/* Sends a change of the configuration to `fanout` random peers. `hops`: number
+   of boxes that it has passed on its way here. */
 static void push_delta(WPNode *n, WPTime now, const Wp__Delta *d, unsigned hops)
 {
     Wp__Frame f = WP__FRAME__INIT;
@@ -132,6 +134,9 @@
         n->peer_hashes[n->peers_answered++] = h;
 }
 
+/* Applies changes, or a snapshot, of the configuration that a peer has sent;
+   new ones are gossiped on. Pulls from the peer if changes in between are
+   missing. */
 static void on_deltas(WPNode *n, WPTime now, const char *from,
                       const Wp__Deltas *m)
 {
@@ -218,6 +223,9 @@
     wp_node_push_member(n, n->self);
 }
 
+/* Merges the record of a box and gossips it on if it is new. Returns whether
+   the membership has changed. A record of this box itself is refuted instead.
+ */
 static bool merge_member(WPNode *n, WPTime now, const Wp__Member *m)
 {
     if (!strcmp(m->id, n->self->id)) {
@@ -234,6 +242,8 @@
     return true;
 }
 
+/* Merges membership records from a peer, and sends it the records of the
+   buckets that it has asked for. */
 static void on_members(WPNode *n, WPTime now, const char *from,
                        const Wp__Members *m)
 {
@@ -263,6 +273,8 @@
     wp_node_send(n, addr, &f);
 }
 
+/* Sends the peer the membership records of the buckets whose hashes differ, and
+   asks for its own. */
 static void on_buckets(WPNode *n, const char *from, const Wp__Buckets *b)
 {
     bool wanted[WP_MEMBER_BUCKETS] = { false };
@@ -278,6 +290,10 @@
         send_bucket_members(n, from, wanted, differ, count);
 }
 
+/* Compares the digest of a peer with this box's state: notes a newer revision,
+   sends the configuration to a peer that has an older one, answers with a
+   digest of its own if this is no answer, and reconciles members and ratings
+   that differ. */
 static void on_digest(WPNode *n, WPTime now, const char *from,
                       const Wp__Digest *d)
 {
@@ -306,6 +322,8 @@
     wp_node_check_ready(n, now);
 }
 
+/* Sends a peer the parts of the state that it asks for: configuration, members
+   or sums of ratings. Without a newer configuration it gets a digest. */
 static void on_pull(WPNode *n, WPTime now, const char *from, const Wp__Pull *p)
 {
     if (p->config && p->have < wp_config_revision(n->config))
--- a/src/wp_node_store.c
+++ b/src/wp_node_store.c
@@ -57,6 +57,8 @@
     return MAX(share, WP_CONFIRM_INTERVAL_US);
 }
 
+/* Notes whether the store has answered. If not, schedules the next poll with
+   jitter and doubles the back-off, up to WP_STORE_RETRY_MAX_US. */
 static void set_store_up(WPNode *n, WPTime now, bool up)
 {
     if (n->store_up != up || !n->store_polled)
@@ -157,6 +159,8 @@
     return overdue;
 }
 
+/* Polls the revision of the store if that is due: a designated box and one that
+   is not ready yet do so often, others only if an update is overdue. */
 static void head_tick(WPNode *n, WPTime now, bool designated)
 {
     bool polls = designated || !n->ready || update_overdue(n, now);
@@ -169,6 +173,8 @@
     wp_node_queue_action(n, WP_ACT_READ_HEAD);
 }
 
+/* Starts the watch on the store at a designated box that is ready, and ends it
+   when the box is no longer designated. */
 static void watch_tick(WPNode *n, bool designated)
 {
     if (designated && !n->watching && n->store_up && n->ready) {
--- a/src/wp_pace.c
+++ b/src/wp_pace.c
@@ -65,6 +65,9 @@
     g_array_append_val(s->boxes, share);
 }
 
+/* The known boxes that are, as this box, in the zone of the endpoint or, as
+   this box, outside of it, and the number of the others. Boxes that are
+   expected but not known count on this side. The caller frees `boxes`. */
 static Side side_of(const WPPaceBoxes *b, const char *zone)
 {
     Side s = { .is_local = !strcmp(b->self.zone, zone),
--- a/src/wp_pb.c
+++ b/src/wp_pb.c
@@ -88,6 +88,8 @@
     return *s && !*end ? true : fail_at(r, node, f->name, "expected a number");
 }
 
+/* Sets a field of a scalar type at `at` from a YAML value; returns false and
+   sets the error if the value does not fit. */
 static bool read_scalar(Reader *r, yaml_node_t *node, Field *f, void *at)
 {
     if (node->type != YAML_SCALAR_NODE)
@@ -227,6 +229,8 @@
     return false;
 }
 
+/* Fills a message from a YAML mapping. Fails on unknown, repeated and missing
+   fields. */
 static bool read_message(Reader *r, yaml_node_t *node, ProtobufCMessage *m)
 {
     g_autofree bool *seen = g_new0(bool, m->descriptor->n_fields + 1);
@@ -319,6 +323,7 @@
     return true;
 }
 
+/* A repeated field as a JSON array; a list of labels as an object. */
 static json_t *json_list(Field *f, const ProtobufCMessage *m)
 {
     size_t n = *(const size_t *)((const char *)m + f->quantifier_offset);
--- a/src/wp_plan.c
+++ b/src/wp_plan.c
@@ -23,6 +23,8 @@
            now.mono_us + OWNER_RETRY_MS * WP_US_PER_MS < r->deadline_us;
 }
 
+/* Whether one of the pool's first WP_PICK_MAX local and remote endpoints is
+   usable and has a free slot. */
 static bool has_free_slot(const WPPool *pool, int64_t now_us)
 {
     GPtrArray *const pools[] = { pool->local, pool->remote };
@@ -88,6 +90,8 @@
     return wp_policy_version_at(e->policy, (unsigned)index)->spec->name;
 }
 
+/* Sets the request's version, and the one to escalate to, and counts it if it
+   explores. Leaves them unset if no version can be chosen. */
 static void choose_version(WPEntry *e, WPTime now, WPRequest *r,
                            const WPKind *kind)
 {
@@ -152,6 +156,9 @@
     r->new_session_token = wp_token_sign(e->policy, &c);
 }
 
+/* Sets the request's version by its session and makes the request sticky to it.
+   Changes nothing if no version follows from the session, or if the guard for
+   sessions is disabled. */
 static void place_session(WPEntry *e, WPTime now, WPRequest *r,
                           const WPKind *kind, const Wp__SessionClaim *claim)
 {
--- a/src/wp_policy.c
+++ b/src/wp_policy.c
@@ -68,6 +68,8 @@
     return s;
 }
 
+/* Adds one object of the configuration to the list of its type; notes a problem
+   if it is invalid. */
 static void add_object(void *arg, const char *key, const Wp__Object *o)
 {
     WPPolicy *p = arg;
@@ -166,6 +168,9 @@
         add_problem(p, "rules on version %s undo each other", v->spec->name);
 }
 
+/* Parses a selector's expressions and determines the versions that it applies
+   to. Without a valid expression for versions, one that denies applies to all
+   and one that allows to none. */
 static void compile_selector(WPPolicy *p, WPSelectorRule *s)
 {
     WPSelector *versions =
--- a/src/wp_prefix_cache.c
+++ b/src/wp_prefix_cache.c
@@ -3,7 +3,7 @@
 
 enum { PARTS_MAX = 1024 /* per engine, 64 bytes each */ };
 
-/* Entries that no request has confirmed for so long are ignored. */
+/* Time after which an entry that no request has confirmed is ignored. */
 #define ENTRY_TTL_US (60 * WP_US_PER_S)
 
 /* Fraction of an engine's memory for cached prefixes; running requests take
--- a/src/wp_queue.c
+++ b/src/wp_queue.c
@@ -52,6 +52,8 @@
     q->slots = slots;
 }
 
+/* The share of the ticket's workspace, added if it is missing; valid until the
+   next one is added. */
 static Share *share_of(WPQueue *q, const WPTicket *t)
 {
     Share new_share = { .weight = t->weight };
--- a/src/wp_report_lease.c
+++ b/src/wp_report_lease.c
@@ -111,7 +111,8 @@
     prune_reported(d);
 }
 
-/* Whether the window ended so long ago, by the clock of usage. */
+/* Whether at least `ms` milliseconds have passed since the end of the window,
+   by the usage clock. */
 static bool is_past(const WPReportLease *d, WPTime now, uint64_t window,
                     double ms)
 {
@@ -248,6 +249,8 @@
     return r;
 }
 
+/* Sets the next action to a write of the record `r`, which it takes over, on
+   the condition that the stored one still has the known revision. */
 static void start_write(WPReportLease *d, WPTime now, Wp__DutyRecord *r,
                         const char *why, WPReportAction *out)
 {
@@ -261,6 +264,8 @@
                              .revision = d->record ? d->revision : 0 };
 }
 
+/* Sets the next action to the report of `s`; or to a renewal of the lease, if
+   that is not certainly held any more. */
 static void start_report(WPReportLease *d, WPTime now,
                          const Wp__SettledUsage *s, WPReportAction *out)
 {
--- a/src/wp_report_lease.h
+++ b/src/wp_report_lease.h
@@ -32,7 +32,7 @@
     bool send_unsettled;
 } WPReportLeaseRules;
 
-/* What this box knows of the lease. */
+/* The state of the lease as known to this box. */
 typedef struct WPReportLease WPReportLease;
 
 /* `usage` is where the counts come from; it must outlive the lease. */
--- a/src/wp_retry_budget.h
+++ b/src/wp_retry_budget.h
@@ -20,7 +20,7 @@
     uint32_t requests[WP_RETRY_BUDGET_SLICES], retries[WP_RETRY_BUDGET_SLICES];
 } WPRetryBudget;
 
-/* What a retry is for; escalations leave some of the budget for failures. */
+/* The purpose of a retry; escalations leave some of the budget for failures. */
 typedef enum WPRetryPurpose {
     WP_RETRY_FOR_FAILURE,   /* the request would fail without it */
     WP_RETRY_FOR_ESCALATION /* to get a better answer than the one received */
--- a/src/wp_rollout.c
+++ b/src/wp_rollout.c
@@ -116,7 +116,7 @@
     return ops;
 }
 
-/* What this box has observed of one roll-out. */
+/* The observations of this box on one roll-out. */
 typedef struct Observed {
     uint64_t fence;   /* fencing token of the state that it is in */
     int64_t since_us; /* when this box first saw it in this state; monotonic */
--- a/src/wp_rollout.h
+++ b/src/wp_rollout.h
@@ -26,7 +26,7 @@
 const Wp__ChartState *wp_chart_next(const Wp__Chart *c, const char *state,
                                     const char *event);
 
-/* What this box has observed itself of the roll-outs that it may advance: since
+/* This box's own observations on the roll-outs that it may advance: since
    when, by the monotonic clock, each of them is in its state, and how many
    ratings the new version had when the roll-out was first seen. A gate opens
    only on these: neither on the wall-clock time at which another box entered
--- a/src/wp_session.c
+++ b/src/wp_session.c
@@ -221,6 +221,9 @@
                         wp_hash(id, 0));
 }
 
+/* Places a session on the version of its claim, or, if that may not serve it or
+   was withdrawn since the session began, on one of the others, chosen by hash.
+ */
 static WPSessionPlacement place_by_claim(const WPPolicy *p, const WPKind *kind,
                                          const WPVersionSet *allowed,
                                          const Wp__SessionClaim *c)
--- a/src/wp_settings.c
+++ b/src/wp_settings.c
@@ -81,6 +81,8 @@
     return NULL;
 }
 
+/* Sets `out` to the value of a field; returns false if its type is not numeric.
+ */
 static bool numeric_value(const ProtobufCFieldDescriptor *f, const void *at,
                           double *out)
 {
@@ -108,6 +110,8 @@
     return g_strv_contains((const char *const *)list, value);
 }
 
+/* Checks a value against the allowed strings or the range of its field; a field
+   without a rule passes. Returns false and sets the error otherwise. */
 static bool check_field(const ProtobufCFieldDescriptor *f, const void *at,
                         const char *file, GError **error)
 {
@@ -132,6 +136,8 @@
     return true;
 }
 
+/* Checks all fields of a message and of its nested ones, except repeated
+   fields. Returns false and sets the error at the first invalid one. */
 static bool check_message(const ProtobufCMessage *m, const char *file,
                           GError **error)
 {
@@ -162,6 +168,8 @@
     return m;
 }
 
+/* Appends a line for each field, with its allowed values; those of a nested
+   message follow its name. */
 static void append_help(const ProtobufCMessageDescriptor *type, GString *out)
 {
     for (unsigned i = 0; i < type->n_fields; i++) {
--- a/src/wp_shift.c
+++ b/src/wp_shift.c
@@ -7,9 +7,9 @@
    different times that a shift has begun. */
 #define FIRST_HALF 0.52
 
-/* A shift is to be done so long before the order's duration is over: it begins
-   some tenths of a second after the order, and the record of its outcome must
-   be written in time. */
+/* Time before the end of the order's duration at which a shift is to be done:
+   it begins some tenths of a second after the order, and the record of its
+   outcome must be written in time. */
 #define SPARE_MS 500
 
 /* Time from the start of a shift until the first request goes to the new
--- a/src/wp_shift.h
+++ b/src/wp_shift.h
@@ -122,7 +122,11 @@
    endpoints have stopped or are about to. */
 bool wp_shift_has_retired(const WPShift *sh, const char *version);
 
-/* Whether requests may go to the version, in the shift's present state. */
+/* Whether requests may go to the version, in the shift's present state: never
+   to a version that is retired (wp_shift_has_retired()) or was rolled back
+   before; while the shift runs, to any other; to the new version alone once the
+   shift is done; and to any but the new one after a roll-back, or once the new
+   one is found bad. */
 bool wp_shift_allows(const WPShift *sh, const char *version);
 
 /* Whether a request is to go to the new version. Once the shift has ended, that
@@ -142,7 +146,8 @@
 /* Records how one request ended at an endpoint, of either version. */
 void wp_shift_record_answer(WPShift *sh, const WPCanaryAnswer *a);
 
-/* What this box knows of the shift, as text for the log. Free with g_free(). */
+/* The counts of the shift that this box knows, as text for the log. Free with
+   g_free(). */
 char *wp_shift_stats_text(const WPShift *sh, WPTime now);
 
 /* Merges another box's finding that the new version is bad, whatever this box
--- a/src/wp_suspects.h
+++ b/src/wp_suspects.h
@@ -12,6 +12,10 @@
  * completes, while one that only ran on an endpoint that crashed completes when
  * it is sent to another.
  *
+ * A crash counts against its request until it is cleared; a weak one, see
+ * WPSuspectCrash, counts half. "Crashes" as a number, such as "the third crash"
+ * above, is the sum of those, rounded down (wp_suspect_crash_count()).
+ *
  * Guards against one request that crashes all endpoints again and again, so
  * that the other requests find none. */
 #ifndef WP_SUSPECTS_H
@@ -123,11 +127,11 @@
                                 int64_t sent_us);
 
 /* Notes that the request was answered completely, which clears it of all
-   crashes. Returns whether there were any that counted. */
+   crashes. Returns whether there was one that was not cleared before. */
 bool wp_suspects_completed(WPSuspects *s, WPTime now, uint64_t request);
 
 /* Clears the request of all crashes by an operator's order. Returns whether
-   there were any that counted. */
+   there was one that was not cleared before. */
 bool wp_suspects_release(WPSuspects *s, WPTime now, uint64_t request);
 
 /* Merges a record from another box or from the store. Returns whether it
@@ -142,8 +146,8 @@
    less. Returns the number of records. */
 size_t wp_suspects_take_unsent(WPSuspects *s, WPSuspect *out, size_t max);
 
-/* Marks all records with crashes that count as to be sent; to be called when
-   another box has connected. */
+/* Marks each record whose wp_suspect_crash_count() is not 0 as unsent, so that
+   the next messages carry it; to be called when another box has connected. */
 void wp_suspects_mark_all_unsent(WPSuspects *s);
 
 /* Arrays that a message points into. */
@@ -159,8 +163,8 @@
 void wp_suspect_encode(const WPSuspect *p, WPTime now,
                        WPSuspectBuffers *buffers, Wp__Suspect *m);
 
-/* Number of crashes that count against the request: two weak ones count as
-   one. */
+/* Number of crashes that count against the request: those that are not cleared,
+   two weak ones as one, and a single weak one left over as none. */
 unsigned wp_suspect_crash_count(const WPSuspect *p);
 
 /* Whether the record is to be kept in the store: at least two crashes count,
--- a/src/wp_suspects_int.h
+++ b/src/wp_suspects_int.h
@@ -59,8 +59,9 @@
 WPSuspectCrash *wp_suspect_find_crash(WPSuspect *p, uint64_t incarnation);
 
 /* Adds a copy of the crash to the record; in place of a cleared one, if the
-   record is full. Returns NULL if the record has a crash of the same
-   incarnation, or is full of crashes that count. */
+   record is full. Returns the copy, which belongs to the record; NULL if the
+   record has a crash of the same incarnation, or is full of crashes that are
+   not cleared. */
 WPSuspectCrash *wp_suspect_add_crash(WPSuspect *p, const WPSuspectCrash *c);
 
 /* Whether the record has a crash that is not cleared. */
--- a/src/wp_usage.c
+++ b/src/wp_usage.c
@@ -206,6 +206,8 @@
     void *arg;
 } SendContext;
 
+/* Calls the function for each unsent count of a row and marks it as sent.
+   Returns FALSE, so that the traversal continues. */
 static gboolean send_row(gpointer key, gpointer value, gpointer arg)
 {
     const SendContext *t = arg;
@@ -259,6 +261,8 @@
     GHashTable *counts; /* workspace -> count; the names belong to the rows */
 } Sum;
 
+/* Adds the counts of a row to the sum, if it is of the sum's window. Returns
+   TRUE, which ends the traversal, at the first row of a later window. */
 static gboolean add_row(gpointer key, gpointer value, gpointer arg)
 {
     const Sum *s = arg;
