--- a/Makefile
+++ b/Makefile
@@ -74,11 +74,11 @@
 $(BUILD)/wpsoak: $(BUILD)/tests/soak.o $(BUILD)/tests/soak_shift.o $(BUILD)/tests/soak_zone.o $(BUILD)/tests/soak_crash.o $(BUILD)/tests/soak_limit.o $(BUILD)/tests/soak_notice.o $(BUILD)/tests/cluster.o $(BUILD)/tests/cluster_faults.o $(BUILD)/tools/ports.o $(LIB)
 $(BUILD)/wpproxy: $(BUILD)/tools/wpproxy.o $(LIB)
 $(BUILD)/wpchoice: $(BUILD)/bench/wpchoice.o $(LIB)
-$(BUILD)/wppace: $(BUILD)/bench/wppace.o $(BUILD)/bench/pace_play.o $(LIB)
-$(BUILD)/wplimit: $(BUILD)/bench/wplimit.o $(BUILD)/bench/limit_play.o $(LIB)
+$(BUILD)/wppace: $(BUILD)/bench/wppace.o $(BUILD)/bench/pace_sim.o $(LIB)
+$(BUILD)/wplimit: $(BUILD)/bench/wplimit.o $(BUILD)/bench/limit_sim.o $(LIB)
 $(BUILD)/wpspeed: $(BUILD)/bench/wpspeed.o $(SITE) $(LIB)
 
-$(UNIT): $(BUILD)/%: $(BUILD)/tests/%.o $(BUILD)/tests/cluster.o $(BUILD)/tests/cluster_faults.o $(BUILD)/tests/report_lease_sim.o $(PLATFORM) $(BUILD)/bench/fleet.o $(BUILD)/bench/pace_play.o $(BUILD)/bench/limit_play.o $(patsubst %.c,$(BUILD)/%.o,$(LAB)) $(SITE) $(LIB)
+$(UNIT): $(BUILD)/%: $(BUILD)/tests/%.o $(BUILD)/tests/cluster.o $(BUILD)/tests/cluster_faults.o $(BUILD)/tests/report_lease_sim.o $(PLATFORM) $(BUILD)/bench/fleet.o $(BUILD)/bench/pace_sim.o $(BUILD)/bench/limit_sim.o $(patsubst %.c,$(BUILD)/%.o,$(LAB)) $(SITE) $(LIB)
 
 $(TESTS): LDLIBS += -lcmocka
 $(BIN) $(TESTS):
--- a/bench/fleet.c
+++ b/bench/fleet.c
@@ -1,72 +1,80 @@
-/* Passes messages between many nodes in virtual time. */
+/* Delivers messages between simulated nodes in virtual time. */
 #include "fleet.h"
 #include "wp_pb.h"
 
 #include <stdlib.h>
 
 #define STEP_US (20 * WP_US_PER_MS)
-#define LATENCY_LEAST_US 500
-#define LATENCY_MOST_US 3000
-#define STORE_LATENCY_US 3000
+#define LATENCY_MIN_US 500
+#define LATENCY_MAX_US 3000
+#define STORE_DELAY_US 3000
 #define WALL_START_MS 1800000000000LL
 
-typedef enum Kind { MESSAGE, HEAD, ALL, WATCHED, BOXES } Kind;
-
-typedef struct Parcel {
-    int64_t at_us, asked_us;
+typedef enum DeliveryKind {
+    MESSAGE,
+    HEAD_REPLY,
+    SNAPSHOT_REPLY,
+    WATCH_EVENT,
+    BOX_LIST_REPLY
+} DeliveryKind;
+
+/* A message or a store reply that is due at a node. */
+typedef struct Delivery {
+    int64_t at_us, requested_us;
     uint64_t order;
-    Kind kind;
+    DeliveryKind kind;
     unsigned to;
     unsigned from;
-    uint64_t life; /* of the receiver, when it was sent */
+    uint64_t incarnation; /* of the receiver when this was sent; dropped if it
+                             has restarted since */
     GByteArray *frame;
     uint64_t revision;
-} Parcel;
+} Delivery;
 
-typedef struct Slot {
+typedef struct Node {
     WPNode *node;
     Wp__Member self;
     char id[16], zone[8], addr[24];
-    bool down, cut, watching;
-    uint64_t life, bytes;
-} Slot;
+    bool down, partitioned, watching;
+    uint64_t incarnation, bytes;
+} Node;
 
 struct Fleet {
     FleetPlan plan;
     Wp__NodeSettings settings;
-    Slot *slots;
+    Node *nodes;
     GHashTable *by_addr; /* address -> index + 1 */
-    GArray *heap;        /* of Parcel, earliest first */
+    GArray *heap;        /* of Delivery, earliest first */
     GRand *rand;
     int64_t now_us;
     uint64_t order;
     bool store_up;
     WPConfig *store;
-    GByteArray *head; /* the newest change */
+    GByteArray *head; /* serialized delta of the latest change */
     FleetCosts costs;
     char **version_names;
 };
 
-/* --- the heap --- */
+/* --- heap of deliveries --- */
 
-static bool earlier(const Parcel *a, const Parcel *b)
+static bool earlier(const Delivery *a, const Delivery *b)
 {
     return a->at_us != b->at_us ? a->at_us < b->at_us : a->order < b->order;
 }
 
-static Parcel *at(Fleet *f, guint i)
+static Delivery *at(Fleet *f, guint i)
 {
-    return &g_array_index(f->heap, Parcel, i);
+    return &g_array_index(f->heap, Delivery, i);
 }
 
 static void swap(Fleet *f, guint a, guint b)
 {
-    Parcel t = *at(f, a);
+    Delivery t = *at(f, a);
     *at(f, a) = *at(f, b);
     *at(f, b) = t;
 }
 
-static void push(Fleet *f, Parcel p)
+static void push(Fleet *f, Delivery p)
 {
     p.order = f->order++;
     g_array_append_val(f->heap, p);
@@ -75,9 +83,9 @@
         swap(f, i, (i - 1) / 2);
 }
 
-static Parcel pop(Fleet *f)
+static Delivery pop(Fleet *f)
 {
-    Parcel first = *at(f, 0);
+    Delivery first = *at(f, 0);
     guint n = f->heap->len - 1;
     *at(f, 0) = *at(f, n);
     g_array_set_size(f->heap, n);
@@ -98,23 +106,24 @@
     return (WPTime){ f->now_us, WALL_START_MS + f->now_us / WP_US_PER_MS };
 }
 
-static void make_node(Fleet *f, unsigned i)
+static void create_node(Fleet *f, unsigned i)
 {
-    Slot *s = &f->slots[i];
+    Node *s = &f->nodes[i];
     Wp__NodeSettings settings = f->settings;
     settings.id = s->id;
     settings.zone = s->zone;
-    s->life++;
+    s->incarnation++;
     s->watching = false;
     s->self.incarnation = (uint64_t)fleet_now(f).wall_ms;
     s->node =
         wp_node_new(&settings, &s->self, f->plan.seed + i + 1, fleet_now(f));
 }
 
-static void name_slot(Fleet *f, unsigned i)
+static void init_identity(Fleet *f, unsigned i)
 {
-    Slot *s = &f->slots[i];
-    bool agent = i % 4 != 0; /* three agents to an entry, as in two years */
+    Node *s = &f->nodes[i];
+    bool agent = i % 4 != 0; /* three agents per entry, as expected of the
+                                deployment in two years */
     g_snprintf(s->id, sizeof(s->id), "n%05u", i);
     g_snprintf(s->zone, sizeof(s->zone), "z%u", i % f->plan.zones);
     g_snprintf(s->addr, sizeof(s->addr), "10.%u.%u.%u:1", i >> 16, i >> 8 & 255,
@@ -135,11 +144,11 @@
 Fleet *fleet_new(const FleetPlan *p)
 {
     Fleet *f = g_new0(Fleet, 1);
-    static char any[] = "x:1", *stores[] = { any };
+    static char any_addr[] = "x:1", *stores[] = { any_addr };
     f->plan = *p;
-    f->slots = g_new0(Slot, p->nodes);
+    f->nodes = g_new0(Node, p->nodes);
     f->by_addr = g_hash_table_new(g_str_hash, g_str_equal);
-    f->heap = g_array_new(FALSE, FALSE, sizeof(Parcel));
+    f->heap = g_array_new(FALSE, FALSE, sizeof(Delivery));
     f->rand = g_rand_new_with_seed(p->seed);
     f->now_us = WP_US_PER_S;
     f->store_up = true;
@@ -153,11 +162,11 @@
     f->settings.fanout = p->fanout;
     f->settings.store = stores;
     f->settings.n_store = 1;
-    f->settings.boxes = any;
+    f->settings.boxes = any_addr;
     fleet_change(f, 1000);
     for (unsigned i = 0; i < p->nodes; i++) {
-        name_slot(f, i);
-        make_node(f, i);
+        init_identity(f, i);
+        create_node(f, i);
     }
     return f;
 }
@@ -168,8 +177,8 @@
         if (at(f, i)->frame)
             g_byte_array_unref(at(f, i)->frame);
     for (unsigned i = 0; i < f->plan.nodes; i++) {
-        wp_node_free(f->slots[i].node);
-        g_free(f->slots[i].self.addr);
+        wp_node_free(f->nodes[i].node);
+        g_free(f->nodes[i].self.addr);
     }
     g_strfreev(f->version_names);
     g_array_unref(f->heap);
@@ -177,16 +186,16 @@
     g_byte_array_unref(f->head);
     wp_config_free(f->store);
     g_rand_free(f->rand);
-    g_free(f->slots);
+    g_free(f->nodes);
     g_free(f);
 }
 
 WPNode *fleet_node(Fleet *f, unsigned i)
 {
-    return f->slots[i].node;
+    return f->nodes[i].node;
 }
 
-/* --- the store's part --- */
+/* --- configuration store --- */
 
 uint64_t fleet_change(Fleet *f, size_t bytes)
 {
@@ -213,89 +222,91 @@
     g_byte_array_unref(f->head);
     f->head = wp_pb_pack(&d.base);
     wp_pb_free(op);
-    for (unsigned i = 0; f->slots && i < f->plan.nodes; i++)
-        if (f->slots[i].watching && !f->slots[i].down && !f->slots[i].cut)
-            push(f, (Parcel){ .at_us = f->now_us + STORE_LATENCY_US,
-                              .kind = WATCHED,
-                              .to = i,
-                              .life = f->slots[i].life,
-                              .revision = d.revision });
+    for (unsigned i = 0; f->nodes && i < f->plan.nodes; i++)
+        if (f->nodes[i].watching && !f->nodes[i].down &&
+            !f->nodes[i].partitioned)
+            push(f, (Delivery){ .at_us = f->now_us + STORE_DELAY_US,
+                                .kind = WATCH_EVENT,
+                                .to = i,
+                                .incarnation = f->nodes[i].incarnation,
+                                .revision = d.revision });
     return d.revision;
 }
 
-void fleet_set_store(Fleet *f, bool up)
+void fleet_set_store_up(Fleet *f, bool up)
 {
     f->store_up = up;
     for (unsigned i = 0; !up && i < f->plan.nodes; i++) {
-        if (!f->slots[i].watching)
+        if (!f->nodes[i].watching)
             continue;
-        f->slots[i].watching = false;
-        wp_node_on_watch_end(f->slots[i].node, fleet_now(f));
+        f->nodes[i].watching = false;
+        wp_node_on_watch_end(f->nodes[i].node, fleet_now(f));
     }
 }
 
 void fleet_set_down(Fleet *f, unsigned node, bool down)
 {
-    f->slots[node].down = down;
+    f->nodes[node].down = down;
 }
 
-void fleet_set_cut(Fleet *f, unsigned node, bool cut)
+void fleet_set_partitioned(Fleet *f, unsigned node, bool partitioned)
 {
-    f->slots[node].cut = cut;
-    if (cut && f->slots[node].watching) {
-        f->slots[node].watching = false;
-        wp_node_on_watch_end(f->slots[node].node, fleet_now(f));
+    f->nodes[node].partitioned = partitioned;
+    if (partitioned && f->nodes[node].watching) {
+        f->nodes[node].watching = false;
+        wp_node_on_watch_end(f->nodes[node].node, fleet_now(f));
     }
 }
 
 void fleet_restart(Fleet *f, unsigned node)
 {
-    wp_node_free(f->slots[node].node);
-    f->slots[node].down = false;
-    make_node(f, node);
+    wp_node_free(f->nodes[node].node);
+    f->nodes[node].down = false;
+    create_node(f, node);
 }
 
-static void ask_store(Fleet *f, unsigned i, Kind kind)
+static void request_store_read(Fleet *f, unsigned i, DeliveryKind kind)
 {
     f->costs.store_reads++;
-    push(f, (Parcel){ .at_us = f->now_us + STORE_LATENCY_US,
-                      .asked_us = f->now_us,
-                      .kind = kind,
-                      .to = i,
-                      .life = f->slots[i].life });
+    push(f, (Delivery){ .at_us = f->now_us + STORE_DELAY_US,
+                        .requested_us = f->now_us,
+                        .kind = kind,
+                        .to = i,
+                        .incarnation = f->nodes[i].incarnation });
 }
 
-static void answer_head(Fleet *f, const Parcel *p, bool ok)
+static void deliver_head(Fleet *f, const Delivery *p, bool ok)
 {
-    wp_node_on_head(f->slots[p->to].node, fleet_now(f), p->asked_us, ok,
+    wp_node_on_head(f->nodes[p->to].node, fleet_now(f), p->requested_us, ok,
                     ok ? wp_config_revision(f->store) : 0, f->head->data,
                     f->head->len);
 }
 
-static void answer_all(Fleet *f, const Parcel *p, bool ok)
+static void deliver_snapshot(Fleet *f, const Delivery *p, bool ok)
 {
     Wp__Snapshot *s = wp_config_snapshot(f->store);
-    wp_node_on_snapshot(f->slots[p->to].node, fleet_now(f), p->asked_us, ok, s);
+    wp_node_on_snapshot(f->nodes[p->to].node, fleet_now(f), p->requested_us, ok,
+                        s);
     wp_pb_free(s);
 }
 
-static void answer_boxes(Fleet *f, const Parcel *p)
+static void deliver_box_list(Fleet *f, const Delivery *p)
 {
     unsigned n = f->plan.nodes, count = 0;
     g_autofree WPBox *boxes = g_new0(WPBox, n);
     g_autofree char *addrs = g_malloc(24UL * n);
     for (unsigned i = 0; i < n; i++) {
         char *addr = addrs + 24UL * count;
-        if (f->slots[i].down)
+        if (f->nodes[i].down)
             continue;
-        g_strlcpy(addr, f->slots[i].addr, 24);
+        g_strlcpy(addr, f->nodes[i].addr, 24);
         *strchr(addr, ':') = 0;
-        boxes[count++] = (WPBox){ f->slots[i].id, addr, 1, false };
+        boxes[count++] = (WPBox){ f->nodes[i].id, addr, 1, false };
     }
-    wp_node_on_box_list(f->slots[p->to].node, fleet_now(f), boxes, count);
+    wp_node_on_box_list(f->nodes[p->to].node, fleet_now(f), boxes, count);
 }
 
-/* --- passing on --- */
+/* --- message delivery --- */
 
 static void send(Fleet *f, unsigned from, WPAction *a)
 {
@@ -303,70 +314,72 @@
     size_t size = a->frame->len + 4;
     f->costs.messages++;
     f->costs.bytes += size;
-    f->slots[from].bytes += size;
-    if (!to || g_rand_double(f->rand) < f->plan.loss || f->slots[from].cut)
+    f->nodes[from].bytes += size;
+    if (!to || g_rand_double(f->rand) < f->plan.loss ||
+        f->nodes[from].partitioned)
         return;
-    push(f, (Parcel){ .at_us = f->now_us + g_rand_int_range(f->rand,
-                                                            LATENCY_LEAST_US,
-                                                            LATENCY_MOST_US),
-                      .kind = MESSAGE,
-                      .to = to - 1,
-                      .from = from,
-                      .life = f->slots[to - 1].life,
-                      .frame = g_byte_array_ref(a->frame) });
+    push(f, (Delivery){ .at_us = f->now_us + g_rand_int_range(f->rand,
+                                                              LATENCY_MIN_US,
+                                                              LATENCY_MAX_US),
+                        .kind = MESSAGE,
+                        .to = to - 1,
+                        .from = from,
+                        .incarnation = f->nodes[to - 1].incarnation,
+                        .frame = g_byte_array_ref(a->frame) });
 }
 
-static void act(Fleet *f, unsigned i)
+static void run_actions(Fleet *f, unsigned i)
 {
     WPAction *a;
-    while ((a = wp_node_next_action(f->slots[i].node))) {
+    while ((a = wp_node_next_action(f->nodes[i].node))) {
         if (a->kind == WP_ACT_SEND)
             send(f, i, a);
         else if (a->kind == WP_ACT_READ_HEAD)
-            ask_store(f, i, HEAD);
+            request_store_read(f, i, HEAD_REPLY);
         else if (a->kind == WP_ACT_READ_ALL)
-            ask_store(f, i, ALL);
+            request_store_read(f, i, SNAPSHOT_REPLY);
         else if (a->kind == WP_ACT_WATCH) {
             f->costs.store_reads++;
-            f->slots[i].watching = f->store_up;
+            f->nodes[i].watching = f->store_up;
             if (!f->store_up)
-                wp_node_on_watch_end(f->slots[i].node, fleet_now(f));
+                wp_node_on_watch_end(f->nodes[i].node, fleet_now(f));
         } else if (a->kind == WP_ACT_UNWATCH)
-            f->slots[i].watching = false;
+            f->nodes[i].watching = false;
         else if (a->kind == WP_ACT_READ_BOXES)
-            push(f, (Parcel){ .at_us = f->now_us + STORE_LATENCY_US,
-                              .kind = BOXES,
-                              .to = i,
-                              .life = f->slots[i].life });
+            push(f, (Delivery){ .at_us = f->now_us + STORE_DELAY_US,
+                                .kind = BOX_LIST_REPLY,
+                                .to = i,
+                                .incarnation = f->nodes[i].incarnation });
         wp_action_free(a);
     }
 }
 
-static void deliver(Fleet *f, Parcel *p)
+static void deliver(Fleet *f, Delivery *p)
 {
-    Slot *s = &f->slots[p->to];
-    bool ok = f->store_up && !s->cut;
-    if (s->down || s->life != p->life || (p->kind == MESSAGE && s->cut))
+    Node *s = &f->nodes[p->to];
+    bool ok = f->store_up && !s->partitioned;
+    if (s->down || s->incarnation != p->incarnation ||
+        (p->kind == MESSAGE && s->partitioned))
         return;
-    if (p->kind == HEAD)
-        answer_head(f, p, ok);
-    else if (p->kind == ALL)
-        answer_all(f, p, ok);
-    else if (p->kind == BOXES && !s->cut)
-        answer_boxes(f, p);
-    else if (p->kind == WATCHED && ok)
+    if (p->kind == HEAD_REPLY)
+        deliver_head(f, p, ok);
+    else if (p->kind == SNAPSHOT_REPLY)
+        deliver_snapshot(f, p, ok);
+    else if (p->kind == BOX_LIST_REPLY && !s->partitioned)
+        deliver_box_list(f, p);
+    else if (p->kind == WATCH_EVENT && ok)
         wp_node_on_watch_event(s->node, fleet_now(f), p->revision,
                                f->head->data, f->head->len);
     else if (p->kind == MESSAGE) {
         Wp__Frame *m = wp__frame__unpack(NULL, p->frame->len, p->frame->data);
         s->bytes += p->frame->len + 4;
-        wp_node_on_frame(s->node, fleet_now(f), f->slots[p->from].addr, m);
+        wp_node_on_frame(s->node, fleet_now(f), f->nodes[p->from].addr, m);
         if (m->has_revision)
             wp_node_on_peer_revision(s->node, fleet_now(f),
-                                     f->slots[p->from].addr, m->revision);
+                                     f->nodes[p->from].addr, m->revision);
         wp__frame__free_unpacked(m, NULL);
     }
-    act(f, p->to);
+    run_actions(f, p->to);
 }
 
 void fleet_run(Fleet *f, int64_t us)
@@ -375,14 +388,14 @@
     while (f->now_us < until) {
         int64_t step_end = f->now_us + STEP_US;
         for (unsigned i = 0; i < f->plan.nodes; i++) {
-            if (f->slots[i].down)
+            if (f->nodes[i].down)
                 continue;
-            wp_node_tick(f->slots[i].node, fleet_now(f));
+            wp_node_tick(f->nodes[i].node, fleet_now(f));
             f->costs.ticks++;
-            act(f, i);
+            run_actions(f, i);
         }
         while (f->heap->len && at(f, 0)->at_us <= step_end) {
-            Parcel p = pop(f);
+            Delivery p = pop(f);
             f->now_us = MAX(f->now_us, p.at_us);
             deliver(f, &p);
             if (p.frame)
@@ -392,47 +405,47 @@
     }
 }
 
-/* Puts every record into every table, so that slopes are of a fleet at work
-   and not of its first minute. */
-void fleet_settle(Fleet *f)
+/* Puts every member record into every node's table, so that costs are measured
+   on a converged fleet and not on its first minute. */
+void fleet_start_converged(Fleet *f)
 {
     Wp__Members all = WP__MEMBERS__INIT;
     Wp__Frame frame = WP__FRAME__INIT;
     g_autofree Wp__Member **rows = g_new0(Wp__Member *, f->plan.nodes);
     WPAction *a;
     for (unsigned i = 0; i < f->plan.nodes; i++)
-        rows[i] = &f->slots[i].self;
+        rows[i] = &f->nodes[i].self;
     all.members = rows;
     all.n_members = f->plan.nodes;
     frame.body_case = WP__FRAME__BODY_MEMBERS;
     frame.members = &all;
     for (unsigned i = 0; i < f->plan.nodes; i++) {
-        wp_node_on_frame(f->slots[i].node, fleet_now(f), f->slots[i].addr,
+        wp_node_on_frame(f->nodes[i].node, fleet_now(f), f->nodes[i].addr,
                          &frame);
-        while ((a = wp_node_next_action(f->slots[i].node)))
+        while ((a = wp_node_next_action(f->nodes[i].node)))
             wp_action_free(a);
     }
     fleet_run(f, 8 * WP_US_PER_S);
-    fleet_costs(f);
+    fleet_take_costs(f);
 }
 
-unsigned fleet_behind(const Fleet *f, uint64_t revision)
+unsigned fleet_count_behind(const Fleet *f, uint64_t revision)
 {
     unsigned n = 0;
     for (unsigned i = 0; i < f->plan.nodes; i++) {
-        const Slot *s = &f->slots[i];
-        n += !s->down && !s->cut &&
+        const Node *s = &f->nodes[i];
+        n += !s->down && !s->partitioned &&
              wp_config_revision(wp_node_config(s->node)) < revision;
     }
     return n;
 }
 
-FleetCosts fleet_costs(Fleet *f)
+FleetCosts fleet_take_costs(Fleet *f)
 {
     FleetCosts c = f->costs;
     for (unsigned i = 0; i < f->plan.nodes; i++) {
-        c.worst_bytes = MAX(c.worst_bytes, f->slots[i].bytes);
-        f->slots[i].bytes = 0;
+        c.worst_bytes = MAX(c.worst_bytes, f->nodes[i].bytes);
+        f->nodes[i].bytes = 0;
     }
     memset(&f->costs, 0, sizeof(f->costs));
     return c;
--- a/bench/fleet.h
+++ b/bench/fleet.h
@@ -1,6 +1,7 @@
-/* Many nodes of the product's own code in one process, for tests and slopes.
- * The driver only passes encoded messages on, in virtual time, and plays the
- * store's part for those nodes that ask it. */
+/* Simulates many nodes of the product's own code in one process and in virtual
+ * time, for tests and for measuring how costs grow with the number of nodes.
+ * The driver delivers the encoded messages between nodes and acts as the
+ * configuration store. */
 #ifndef FLEET_H
 #define FLEET_H
 
@@ -9,45 +10,59 @@
 typedef struct FleetPlan {
     unsigned nodes, zones;
     uint32_t seed;
-    double loss; /* of messages, 0 to 1 */
+    double loss; /* probability that a message is lost, 0 to 1 */
     unsigned gossip_ms, fanout;
-    unsigned versions; /* that agents name in their records */
+    unsigned versions; /* distinct versions in the agents' member records */
 } FleetPlan;
 
 typedef struct Fleet Fleet;
 
+/* Creates the nodes, each with an empty member table and no configuration. */
 Fleet *fleet_new(const FleetPlan *p);
 void fleet_free(Fleet *f);
 
-/* All know all, and the store's first configuration is in force. */
-void fleet_settle(Fleet *f);
+/* Brings the fleet to a steady state: every node knows all others and has the
+   store's first configuration. Advances 8 s and resets the costs. */
+void fleet_start_converged(Fleet *f);
+
+/* Advances virtual time by `us` microseconds. */
 void fleet_run(Fleet *f, int64_t us);
+
+/* The current virtual time. */
 WPTime fleet_now(const Fleet *f);
 
-/* A change of about `bytes`, accepted by the store now; gives its revision.
-   While the store is down it is not accepted and gives 0. */
+/* Commits a configuration change of about `bytes` bytes to the store and
+   returns its revision; 0 if the store is down. */
 uint64_t fleet_change(Fleet *f, size_t bytes);
-void fleet_set_store(Fleet *f, bool up);
+
+/* Takes the store down or brings it up; going down ends all watches. */
+void fleet_set_store_up(Fleet *f, bool up);
+
+/* While down, a node neither runs nor receives messages. */
 void fleet_set_down(Fleet *f, unsigned node, bool down);
 
-/* Cuts a node off from peers and store alike. */
-void fleet_set_cut(Fleet *f, unsigned node, bool cut);
+/* Partitions a node from its peers and from the store, or ends the partition.
+ */
+void fleet_set_partitioned(Fleet *f, unsigned node, bool partitioned);
 
-/* Starts a node anew, empty. */
+/* Restarts a node with empty state. */
 void fleet_restart(Fleet *f, unsigned node);
+
+/* The `i`-th node; valid until it is restarted. */
 WPNode *fleet_node(Fleet *f, unsigned i);
 
-/* Nodes that run, are not cut off and are not at `revision`. */
-unsigned fleet_behind(const Fleet *f, uint64_t revision);
+/* Number of nodes that are up, not partitioned and not yet at `revision`. */
+unsigned fleet_count_behind(const Fleet *f, uint64_t revision);
 
+/* Totals since the last call of fleet_take_costs(). */
 typedef struct FleetCosts {
-    uint64_t messages, bytes; /* sent by all */
-    uint64_t worst_bytes;     /* sent and received by one node */
-    uint64_t store_reads;     /* asked of the store */
+    uint64_t messages, bytes; /* sent by all nodes */
+    uint64_t worst_bytes;     /* most bytes sent and received by one node */
+    uint64_t store_reads;     /* requests to the store, watches included */
     uint64_t ticks;
 } FleetCosts;
 
-/* Since the last call. */
-FleetCosts fleet_costs(Fleet *f);
+/* Returns the costs since the last call and resets them. */
+FleetCosts fleet_take_costs(Fleet *f);
 
 #endif
--- a/bench/lab_events.c
+++ b/bench/lab_events.c
@@ -1,14 +1,15 @@
-/* The queue of the lab's events: a heap by time, and by order at one time. */
+/* The event queue of the lab: a binary heap ordered by time, and by order of
+ * scheduling for events at the same time. */
 #include "lab_int.h"
 
-static bool earlier(const Event *a, const Event *b)
+static bool earlier(const LabEvent *a, const LabEvent *b)
 {
     return a->at_us != b->at_us ? a->at_us < b->at_us : a->order < b->order;
 }
 
-Event *lab_after(Lab *lab, int64_t us, void (*fn)(Lab *, Event *))
+LabEvent *lab_schedule(Lab *lab, int64_t us, void (*fn)(Lab *, LabEvent *))
 {
-    Event *e = g_new0(Event, 1);
+    LabEvent *e = g_new0(LabEvent, 1);
     GPtrArray *h = lab->heap;
     e->at_us = lab->now_us + us;
     e->order = lab->order++;
@@ -26,10 +27,10 @@
     return e;
 }
 
-Event *lab_next(Lab *lab)
+LabEvent *lab_pop_event(Lab *lab)
 {
     GPtrArray *h = lab->heap;
-    Event *first = h->pdata[0];
+    LabEvent *first = h->pdata[0];
     guint n = h->len - 1;
     h->pdata[0] = h->pdata[n];
     g_ptr_array_set_size(h, (gint)n);
--- a/bench/lab_sums.c
+++ b/bench/lab_sums.c
@@ -1,53 +1,54 @@
-/* Sums up what happened in a lab. */
+/* Computes the results of a lab run. */
 #include "lab_int.h"
 #include "wp_pb.h"
 
 #include <math.h>
 
-typedef struct Part {
+typedef struct Share {
     double offered, served;
-} Part;
+} Share;
 
-/* The level up to which each is served when `total` is shared max-min. */
-static double fair_level(const Part *parts, unsigned n, double total)
+/* The largest allocation of one workspace when `total` requests are divided by
+   max-min fairness; accurate to 0.01 requests. */
+static double fair_level(const Share *shares, unsigned n, double total)
 {
     double level = 0;
     for (double step = total; step > 0.01; step /= 2) {
         double filled = 0;
         for (unsigned i = 0; i < n; i++)
-            filled += fmin(parts[i].offered, level + step);
+            filled += fmin(shares[i].offered, level + step);
         level += filled <= total ? step : 0;
     }
     return level;
 }
 
-/* Jain's index of what each workspace got of a class over its max-min fair
-   part: a small one that got all it asked for counts as one that got its full
-   part. Weights are equal here. */
+/* Jain's fairness index of each workspace's answers in a class divided by its
+   max-min fair share. A workspace that offered less than the share and got all
+   of it counts as fully served. All workspaces have equal weight. */
 static double fairness_of(Lab *lab, unsigned rank)
 {
-    Part parts[32];
+    Share shares[32];
     unsigned n = 0;
     double total = 0, sum = 0, squares = 0;
-    WPPolicy *p = wp_entry_policy(lab->doors[0].entry);
+    WPPolicy *p = wp_entry_policy(lab->entries[0].entry);
     for (unsigned w = 0; w < wp_policy_workspaces(p) && n < 32; w++) {
         g_autofree char *key = g_strdup_printf(
             "%u/%s", rank, wp_policy_workspace_at(p, w)->spec->name);
-        parts[n].offered = *lab_count(lab->offered, key);
-        parts[n].served = *lab_count(lab->served, key);
-        total += parts[n].served;
-        n += parts[n].offered > 0;
+        shares[n].offered = *lab_counter(lab->offered, key);
+        shares[n].served = *lab_counter(lab->served, key);
+        total += shares[n].served;
+        n += shares[n].offered > 0;
     }
-    double level = fair_level(parts, n, total);
+    double level = fair_level(shares, n, total);
     for (unsigned i = 0; i < n; i++) {
-        double x = parts[i].served / fmax(fmin(parts[i].offered, level), 1);
+        double x = shares[i].served / fmax(fmin(shares[i].offered, level), 1);
         sum += x;
         squares += x * x;
     }
     return squares > 0 ? sum * sum / (n * squares) : 1;
 }
 
-void lab_sum_up(Lab *lab)
+void lab_compute_result(Lab *lab)
 {
     LabResult *r = lab->r;
     const LabPlan *p = lab->plan;
@@ -64,32 +65,34 @@
         r->recovered_after_s = s - p->burst_to_s;
         break;
     }
-    WPPolicy *policy = wp_entry_policy(lab->doors[0].entry);
+    WPPolicy *policy = wp_entry_policy(lab->entries[0].entry);
     if (wp_policy_rollouts(policy))
-        g_strlcpy(r->state, wp_policy_rollout_at(policy, 0)->spec->state,
-                  sizeof(r->state));
+        g_strlcpy(r->rollout_state,
+                  wp_policy_rollout_at(policy, 0)->spec->state,
+                  sizeof(r->rollout_state));
 }
 
-void lab_end(LabResult *r)
+void lab_result_destroy(LabResult *r)
 {
     g_array_unref(r->first_ms);
 }
 
 double lab_capacity(const LabPlan *p)
 {
-    Wp__Mix *mix = lab_yaml(&wp__mix__descriptor, p->mix);
+    Wp__Mix *mix = lab_read_yaml(&wp__mix__descriptor, p->mix);
     double tokens = 0, weight = 0;
-    unsigned servers = 0;
+    unsigned agents = 0;
     for (size_t i = 0; i < mix->n_items; i++) {
         const Wp__MixItem *m = mix->items[i];
-        /* The mean of the heavy tail, cut at its bound, is about 0.9. */
+        /* The heavy-tailed distribution, truncated at TAIL_MAX, has a mean of
+           about 0.9 times answer_tokens. */
         double t = m->answer_tokens * (m->heavy_tail ? 0.9 : 1);
         tokens += m->weight * (t + m->prompt_words / 160.0);
         weight += m->weight;
     }
     for (size_t i = 0; i < p->n_pools; i++)
-        servers += p->pools[i].agents;
+        agents += p->pools[i].agents;
     wp_pb_free(mix);
     double step_s = p->step_us * (1 + BATCH_SLOWDOWN) / WP_US_PER_S;
-    return servers * p->slots / step_s / (tokens / weight);
+    return agents * p->slots / step_s / (tokens / weight);
 }
--- a/bench/wpbench.c
+++ b/bench/wpbench.c
@@ -1,5 +1,5 @@
-/* wpbench: the tables of docs/DESIGN.md, each policy against baselines in one
- * run. Usage: wpbench [TABLE...]; without a name, all. */
+/* wpbench: prints the tables of docs/DESIGN.md, each policy next to its
+ * baselines. Usage: wpbench [TABLE...]; without a name, all tables. */
 #include "lab.h"
 #include "wp_code.h"
 #include "wp_pb.h"
@@ -12,7 +12,7 @@
 #define SEEDS 5
 #define GOOD_ROLLOUTS 100
 
-static const LabTruth lake_truth[] = {
+static const LabTrueQuality lake_quality[] = {
     { "rider-answer", "tagger-1", 0.88 },  { "rider-answer", "tagger-2", 0.93 },
     { "rider-answer", "planner-1", 0.97 }, { "damage-tag", "tagger-1", 0.85 },
     { "damage-tag", "tagger-2", 0.92 },    { "damage-tag", "planner-1", 0.96 },
@@ -23,7 +23,7 @@
                                       { "tagger-2", 7 },
                                       { "planner-1", 6 } };
 
-static const LabTruth hall_truth[] = {
+static const LabTrueQuality hall_quality[] = {
     { "zone-tag", "zoner-1", 0.90 }, { "zone-tag", "drafter-1", 0.96 },
     { "digest", "zoner-1", 0.75 },   { "digest", "drafter-1", 0.95 },
     { "draft", "drafter-1", 0.95 },
@@ -34,8 +34,8 @@
 {
     return (LabPlan){ .rules = "bench/lakeshore.yaml",
                       .mix = "bench/lakeshore-mix.yaml",
-                      .truth = lake_truth,
-                      .n_truth = WP_COUNT(lake_truth),
+                      .true_quality = lake_quality,
+                      .n_true_quality = WP_COUNT(lake_quality),
                       .pools = lake_pools,
                       .n_pools = WP_COUNT(lake_pools),
                       .entries = 3,
@@ -59,22 +59,22 @@
     LabPlan p = lakeshore(seed);
     p.rules = "bench/laurentide.yaml";
     p.mix = "bench/laurentide-mix.yaml";
-    p.truth = hall_truth;
-    p.n_truth = WP_COUNT(hall_truth);
+    p.true_quality = hall_quality;
+    p.n_true_quality = WP_COUNT(hall_quality);
     p.pools = hall_pools;
     p.n_pools = WP_COUNT(hall_pools);
     return p;
 }
 
-/* Mean and spread over seeds. */
+/* Mean, minimum and maximum over seeds. */
 typedef struct Mean {
-    double sum, squares, n, least, most;
+    double sum, squares, n, min, max;
 } Mean;
 
 static void add(Mean *m, double v)
 {
-    m->least = m->n ? fmin(m->least, v) : v;
-    m->most = m->n ? fmax(m->most, v) : v;
+    m->min = m->n ? fmin(m->min, v) : v;
+    m->max = m->n ? fmax(m->max, v) : v;
     m->sum += v;
     m->squares += v * v;
     m->n++;
@@ -87,7 +87,7 @@
 
 /* --- cost at the quality target --- */
 
-/* Adds one seed's kinds to the sums over seeds. */
+/* Adds the results per kind of one seed to the totals over all seeds. */
 static void pool_kinds(LabResult *sum, const LabResult *r)
 {
     for (unsigned i = 0; i < r->n_kinds; i++) {
@@ -104,21 +104,24 @@
     }
 }
 
-/* The least margin of a kind's quality over its target. */
+/* The lowest margin of a kind's share of good answers over its target. */
 static double margin(const LabResult *sum)
 {
-    double least = 1;
+    double min = 1;
     for (unsigned i = 0; i < sum->n_kinds; i++)
         if (sum->kinds[i].ok)
-            least = fmin(least,
-                         (double)sum->kinds[i].good / (double)sum->kinds[i].ok -
-                             sum->kinds[i].target);
-    return least;
+            min = fmin(min,
+                       (double)sum->kinds[i].good / (double)sum->kinds[i].ok -
+                           sum->kinds[i].target);
+    return min;
 }
 
-typedef LabPlan (*Site)(uint32_t seed);
+/* Returns the plan of a site for this seed. */
+typedef LabPlan (*SiteFn)(uint32_t seed);
 
-static void cost_of(const char *name, Site site, const char *choose)
+/* Prints a row of the cost table: this site with this policy for choosing
+   versions. */
+static void cost_of(const char *name, SiteFn site, const char *choose)
 {
     Mean strong = { 0 }, fixed = { 0 }, ok = { 0 };
     LabResult all = { 0 };
@@ -131,11 +134,11 @@
         add(&fixed, r.cost / r.fixed_cost);
         pool_kinds(&all, &r);
         add(&ok, (double)r.ok / (double)r.offered);
-        lab_end(&r);
+        lab_result_destroy(&r);
     }
     printf("%-11s %-10s %8.3f (%.3f-%.3f) %8.3f (%.3f-%.3f) %+10.3f %9.4f\n",
-           name, choose, mean(&strong), strong.least, strong.most, mean(&fixed),
-           fixed.least, fixed.most, margin(&all), mean(&ok));
+           name, choose, mean(&strong), strong.min, strong.max, mean(&fixed),
+           fixed.min, fixed.max, margin(&all), mean(&ok));
 }
 
 static void table_cost(void)
@@ -143,8 +146,8 @@
     static const char *const policies[] = { "strongest", "cheapest", "static",
                                             "cost" };
     printf("\nCost of answers, %d seeds, against always-strongest and the best "
-           "fixed choice\nknown afterwards; worst kind's quality over its "
-           "target; share answered\n",
+           "fixed choice\nknown afterwards; lowest margin of a kind's "
+           "quality over its target; share answered\n",
            SEEDS);
     printf("%-11s %-10s %22s %22s %10s %9s\n", "site", "policy", "/ strongest",
            "/ best fixed", "margin", "answered");
@@ -170,7 +173,8 @@
     return p;
 }
 
-typedef void (*Change)(LabPlan *p);
+/* Changes a plan for one case of the latency table. */
+typedef void (*PlanEdit)(LabPlan *p);
 
 static void as_is(LabPlan *p)
 {
@@ -197,7 +201,9 @@
     p->rate *= 0.6;
 }
 
-static void latency_of(const char *name, Change change, const char *balance,
+/* Prints a row of the latency table. *first_p99 is the p99 that ratios refer
+   to; it is set by the first row of a case. */
+static void latency_of(const char *name, PlanEdit edit, const char *balance,
                        double *first_p99)
 {
     Mean p50 = { 0 }, p99 = { 0 }, ok = { 0 }, attempts = { 0 };
@@ -205,18 +211,18 @@
         LabPlan p = one_pool(seed);
         LabResult r;
         p.balance = balance;
-        change(&p);
+        edit(&p);
         lab_run(&p, &r);
         add(&p50, sample_quantile(r.first_ms, 0.5));
         add(&p99, sample_quantile(r.first_ms, 0.99));
         add(&ok, (double)r.ok / (double)r.offered);
         add(&attempts, (double)r.attempts / (double)r.offered);
-        lab_end(&r);
+        lab_result_destroy(&r);
     }
     if (*first_p99 == 0)
         *first_p99 = mean(&p99);
     printf("%-10s %-15s %8.1f %8.1f (%.1f-%.1f) %8.2f %9.4f %9.3f\n", name,
-           balance, mean(&p50), mean(&p99), p99.least, p99.most,
+           balance, mean(&p50), mean(&p99), p99.min, p99.max,
            mean(&p99) / *first_p99, mean(&ok), mean(&attempts));
 }
 
@@ -227,7 +233,7 @@
                                             "probe" };
     static const struct {
         const char *name;
-        Change change;
+        PlanEdit edit;
     } cases[] = { { "80% load", as_is },
                   { "one slow", with_slow },
                   { "late loads", with_lag },
@@ -240,16 +246,15 @@
     for (size_t c = 0; c < WP_COUNT(cases); c++) {
         double random_p99 = 0;
         for (size_t i = 0; i < WP_COUNT(policies); i++)
-            latency_of(cases[c].name, cases[c].change, policies[i],
-                       &random_p99);
+            latency_of(cases[c].name, cases[c].edit, policies[i], &random_p99);
     }
 }
 
 /* --- bursts --- */
 
-static double rate_of_capacity(Site site, uint32_t seed)
+static double rate_of_capacity(SiteFn site, uint32_t seed)
 {
-    /* The highest rate that is answered but for one in a hundred. */
+    /* Bisects for the highest rate at which 99 % of requests are answered. */
     double low = 20, high = 400;
     for (int i = 0; i < 6; i++) {
         LabPlan p = site(seed);
@@ -258,14 +263,15 @@
         p.seconds = 40;
         p.warm_s = 20;
         lab_run(&p, &r);
-        bool held = (double)r.ok >= 0.99 * (double)r.offered;
-        *(held ? &low : &high) = p.rate;
-        lab_end(&r);
+        bool sustained = (double)r.ok >= 0.99 * (double)r.offered;
+        *(sustained ? &low : &high) = p.rate;
+        lab_result_destroy(&r);
     }
     return low;
 }
 
-/* Whether a class got a larger share answered than a better one. */
+/* Whether a class had a larger share of its requests answered than a higher
+   class; differences up to 0.02 do not count. */
 static bool inverted(const LabResult *r)
 {
     for (unsigned i = 0; i < r->n_kinds; i++) {
@@ -280,9 +286,11 @@
     return false;
 }
 
-static void burst_of(const char *name, Site site, double factor)
+/* Prints a row of the burst table: a site at `factor` times its capacity, and
+   its recovery after a burst of 5 times 0.6 of its capacity. */
+static void burst_of(const char *name, SiteFn site, double factor)
 {
-    Mean goodput = { 0 }, jain = { 0 }, attempts = { 0 }, back = { 0 };
+    Mean goodput = { 0 }, jain = { 0 }, attempts = { 0 }, recovery = { 0 };
     unsigned inversions = 0;
     double capacity = rate_of_capacity(site, 99);
     for (uint32_t seed = 1; seed <= SEEDS; seed++) {
@@ -302,22 +310,22 @@
                        r.kinds[i].rank,
                        (double)r.kinds[i].ok / (double)r.kinds[i].offered,
                        (unsigned long)r.kinds[i].offered);
-        lab_end(&r);
+        lab_result_destroy(&r);
         p.rate = 0.6 * capacity;
         p.burst_from_s = 25;
         p.burst_to_s = 40;
         p.burst_factor = 5;
         lab_run(&p, &r);
-        add(&back, r.recovered_after_s < 0 ? 99 : r.recovered_after_s);
-        lab_end(&r);
+        add(&recovery, r.recovered_after_s < 0 ? 99 : r.recovered_after_s);
+        lab_result_destroy(&r);
     }
     printf("%-11s %8.0f/s %5.1fx %9.3f (%.3f-%.3f) %7.3f %9.3f %8u/%d %9.1f "
            "s\n",
-           name, capacity, factor, mean(&goodput), goodput.least, goodput.most,
-           jain.least, attempts.most, inversions, SEEDS, back.most);
+           name, capacity, factor, mean(&goodput), goodput.min, goodput.max,
+           jain.min, attempts.max, inversions, SEEDS, recovery.max);
 }
 
-/* Three classes that share one pool of twenty. */
+/* Three classes that share one pool of twenty agents. */
 static LabPlan classes(uint32_t seed)
 {
     static const LabPool pool[] = { { "planner-1", 20 } };
@@ -331,9 +339,9 @@
 static void table_burst(void)
 {
     printf("\nBursts, %d seeds: goodput over capacity, Jain's index over ten "
-           "workspaces (least),\nattempts a request (most), runs with an "
-           "inversion of classes, seconds until\nservice is back after 15 s "
-           "at five times the day's rate (most)\n",
+           "workspaces (min),\nattempts per request (max), runs with an "
+           "inversion of classes, seconds until\nservice recovers after 15 s "
+           "at five times the base rate (max)\n",
            SEEDS);
     printf("%-11s %10s %6s %9s %15s %7s %9s %10s %10s\n", "site", "capacity",
            "load", "goodput", "", "Jain", "attempts", "inversions", "back");
@@ -349,20 +357,20 @@
     g_autofree char *text = NULL;
     gsize n;
     if (!g_file_get_contents("charts/rollout.yaml", &text, &n, NULL))
-        g_error("charts/rollout.yaml: cannot be read");
+        g_error("cannot read charts/rollout.yaml");
     return wp_chart_read(wp_strn(text, n), "charts/rollout.yaml", NULL);
 }
 
 static LabPlan rollout(uint32_t seed, const Wp__Chart *chart)
 {
-    static const LabTruth truth[] = { { "rider-answer", "old", 0.92 },
-                                      { "rider-answer", "new", 0.92 } };
+    static const LabTrueQuality quality[] = { { "rider-answer", "old", 0.92 },
+                                              { "rider-answer", "new", 0.92 } };
     static const LabPool pools[] = { { "old", 10 }, { "new", 10 } };
     LabPlan p = lakeshore(seed);
     p.rules = "bench/rollout.yaml";
     p.mix = "bench/one-mix.yaml";
-    p.truth = truth;
-    p.n_truth = WP_COUNT(truth);
+    p.true_quality = quality;
+    p.n_true_quality = WP_COUNT(quality);
     p.pools = pools;
     p.n_pools = 2;
     p.rate = 60;
@@ -380,7 +388,7 @@
     unsigned stopped = 0, false_stops = 0, done = 0;
     printf("\nExposure to a bad version: one at 10%% share is bad from its "
            "first request\n(quality 0.5 for 0.92), a fifth of answers rated, "
-           "3 s late; and %d good roll-outs\n",
+           "3 s late; and %d good rollouts\n",
            GOOD_ROLLOUTS);
     for (uint32_t seed = 1; seed <= 4 * SEEDS; seed++) {
         LabPlan p = rollout(seed, chart);
@@ -394,28 +402,29 @@
         add(&served, (double)r.bad_served);
         add(&share, (double)r.bad_served / (double)r.window_served);
         add(&after, r.stopped_after_s);
-        lab_end(&r);
+        lab_result_destroy(&r);
     }
-    printf("bad: stopped %u of %d, after %.1f s (most %.1f), served %.0f "
-           "requests (most %.0f), %.4f of the window's (most %.4f)\n",
-           stopped, 4 * SEEDS, mean(&after), after.most, mean(&served),
-           served.most, mean(&share), share.most);
+    printf("bad: stopped %u of %d, after %.1f s (max %.1f), served %.0f "
+           "requests (max %.0f), %.4f of the window's (max %.4f)\n",
+           stopped, 4 * SEEDS, mean(&after), after.max, mean(&served),
+           served.max, mean(&share), share.max);
     for (uint32_t seed = 1; seed <= GOOD_ROLLOUTS; seed++) {
         LabPlan p = rollout(seed + 500, chart);
         LabResult r;
         p.mix = "bench/rated-mix.yaml";
         lab_run(&p, &r);
-        false_stops += !strcmp(r.state, "stopped");
-        done += !strcmp(r.state, "done");
-        lab_end(&r);
+        false_stops += !strcmp(r.rollout_state, "stopped");
+        done += !strcmp(r.rollout_state, "done");
+        lab_result_destroy(&r);
     }
     printf("good: %u of %d done, %u stopped falsely\n", done, GOOD_ROLLOUTS,
            false_stops);
     wp_pb_free(chart);
 }
 
-/* --- processor time of one decision --- */
+/* --- CPU time of one decision --- */
 
+/* CPU time of this thread in microseconds. */
 static double thread_us(void)
 {
     struct timespec t;
@@ -423,7 +432,7 @@
     return (double)t.tv_sec * WP_US_PER_S + (double)t.tv_nsec / 1000;
 }
 
-static WPEndpoint *fake_endpoint(unsigned i)
+static WPEndpoint *make_endpoint(unsigned i)
 {
     WPEndpoint *e = g_new0(WPEndpoint, 1);
     e->id = g_strdup_printf("a%u", i);
@@ -435,17 +444,18 @@
     return e;
 }
 
+/* Prints the mean CPU time of a routing decision with this many endpoints. */
 static void decision_cpu(unsigned endpoints)
 {
     enum { ROUNDS = 200000 };
     WPBalancer *b = wp_balancer_new("probe", 1);
-    g_autofree WPEndpoint **near = g_new0(WPEndpoint *, endpoints);
-    g_autofree WPEndpoint **far = g_new0(WPEndpoint *, endpoints);
-    unsigned n_near = MAX(endpoints / 20, 8), n_far = endpoints - n_near;
-    for (unsigned i = 0; i < n_near; i++)
-        near[i] = fake_endpoint(i);
-    for (unsigned i = 0; i < n_far; i++)
-        far[i] = fake_endpoint(i + n_near);
+    g_autofree WPEndpoint **local = g_new0(WPEndpoint *, endpoints);
+    g_autofree WPEndpoint **remote = g_new0(WPEndpoint *, endpoints);
+    unsigned n_local = MAX(endpoints / 20, 8), n_remote = endpoints - n_local;
+    for (unsigned i = 0; i < n_local; i++)
+        local[i] = make_endpoint(i);
+    for (unsigned i = 0; i < n_remote; i++)
+        remote[i] = make_endpoint(i + n_local);
     Wp__Rules *rules;
     g_autofree char *text = NULL;
     gsize size;
@@ -467,9 +477,10 @@
                          .bounds = table,
                          .prompt_tokens = 50,
                          .answer_tokens = 50 };
-    WPPickQuery p = {
-        .local = near, .n_local = n_near, .remote = far, .n_remote = n_far
-    };
+    WPPickQuery p = { .local = local,
+                      .n_local = n_local,
+                      .remote = remote,
+                      .n_remote = n_remote };
     const WPChooser *chooser = wp_chooser("cost");
     const WPWorkspace *ws = wp_policy_workspace_at(policy, 0);
     struct mallinfo2 before = mallinfo2();
@@ -484,10 +495,10 @@
     }
     double us = (thread_us() - start) / ROUNDS;
     struct mallinfo2 then = mallinfo2();
-    printf("%8u endpoints: %6.2f us a decision, %ld bytes allocated\n",
+    printf("%8u endpoints: %6.2f us per decision, %ld bytes allocated\n",
            endpoints, us, (long)then.uordblks - (long)before.uordblks);
-    for (unsigned i = 0; i < n_near + n_far; i++) {
-        WPEndpoint *e = i < n_near ? near[i] : far[i - n_near];
+    for (unsigned i = 0; i < n_local + n_remote; i++) {
+        WPEndpoint *e = i < n_local ? local[i] : remote[i - n_local];
         g_free((gpointer)e->id);
         g_free(e);
     }
@@ -502,7 +513,7 @@
 
 static void table_cpu(void)
 {
-    printf("\nProcessor time of a decision: allowed set, version, endpoint\n");
+    printf("\nCPU time of a decision: allowed set, version, endpoint\n");
     decision_cpu(20);
     decision_cpu(300);
     decision_cpu(10000);
@@ -521,10 +532,10 @@
 {
     setvbuf(stdout, NULL, _IOLBF, 0);
     for (size_t i = 0; i < WP_COUNT(tables); i++) {
-        bool wanted = argc < 2;
+        bool selected = argc < 2;
         for (int k = 1; k < argc; k++)
-            wanted |= !strcmp(argv[k], tables[i].name);
-        if (wanted)
+            selected |= !strcmp(argv[k], tables[i].name);
+        if (selected)
             tables[i].run();
     }
     return 0;
--- a/bench/wpcapacity.c
+++ b/bench/wpcapacity.c
@@ -1,5 +1,6 @@
-/* wpcapacity: the slopes that docs/CAPACITY.md is worked out from. Nodes are
- * the product's own code passing encoded messages in one process. */
+/* wpcapacity: measures how costs grow with the number of nodes; the figures of
+ * docs/CAPACITY.md are computed from these. Nodes are the product's own code,
+ * exchanging encoded messages within one process. */
 #include "fleet.h"
 #include "wp_agent.h"
 #include "wp_entry.h"
@@ -12,7 +13,7 @@
 #include <time.h>
 
 #define CHANGE_BYTES 700
-#define GOSSIP_MS 5000 /* as the two-year size would set it */
+#define GOSSIP_MS 5000 /* setting for the size expected in two years */
 #define CHANGES 5
 
 static double cpu_us(void)
@@ -28,7 +29,8 @@
     return (double)m.uordblks + (double)m.hblkhd;
 }
 
-/* y = a + b x by least squares, and the largest miss in parts of y. */
+/* Least-squares fit y = a + b x; `error` is the largest residual relative to
+   y. */
 typedef struct Fit {
     double a, b, error;
 } Fit;
@@ -50,21 +52,34 @@
     return f;
 }
 
-typedef struct Spread {
-    double seconds, worst_seconds, bytes, worst_bytes, idle_bytes_s, tick_us,
-        delta_us, reads_s, memory;
-} Spread;
+/* Measurements of an idle fleet and of configuration changes. Bytes are sent
+   and received ones. */
+typedef struct Propagation {
+    double seconds;       /* until all nodes have a change; mean over changes */
+    double worst_seconds; /* the same, maximum */
+    double bytes;         /* per node per change, mean */
+    double worst_bytes;   /* of one node during one change, maximum */
+    double idle_bytes_s;  /* per node per second without changes */
+    double tick_us;       /* idle CPU time per tick, with message delivery */
+    double delta_us;      /* CPU time per node per change */
+    double reads_s;       /* store reads per second of all nodes, idle */
+    double memory;        /* heap bytes per node */
+} Propagation;
 
-static double until_all(Fleet *f, uint64_t revision)
+/* Runs the fleet until all nodes have the revision, 60 s at most; returns the
+   virtual seconds that this took. */
+static double run_until_converged(Fleet *f, uint64_t revision)
 {
     int64_t start = fleet_now(f).mono_us;
-    while (fleet_behind(f, revision) &&
+    while (fleet_count_behind(f, revision) &&
            fleet_now(f).mono_us - start < 60 * WP_US_PER_S)
         fleet_run(f, 20 * WP_US_PER_MS);
     return (double)(fleet_now(f).mono_us - start) / WP_US_PER_S;
 }
 
-static Spread spread(unsigned nodes, double loss, double down)
+/* Measures a fleet of this size with this message loss and share of nodes
+   down. */
+static Propagation measure_propagation(unsigned nodes, double loss, double down)
 {
     FleetPlan p = { .nodes = nodes,
                     .zones = nodes >= 1000 ? 20 : 3,
@@ -73,24 +88,24 @@
                     .gossip_ms = GOSSIP_MS,
                     .fanout = 3,
                     .versions = 32 };
-    Spread s = { 0 };
+    Propagation s = { 0 };
     double before = heap_bytes();
     Fleet *f = fleet_new(&p);
-    fleet_settle(f);
+    fleet_start_converged(f);
     s.memory = (heap_bytes() - before) / nodes;
     double start = cpu_us();
     fleet_run(f, 10 * WP_US_PER_S);
-    FleetCosts c = fleet_costs(f);
+    FleetCosts c = fleet_take_costs(f);
     s.idle_bytes_s = 2.0 * (double)c.bytes / nodes / 10;
     s.tick_us = (cpu_us() - start) / (double)c.ticks;
     s.reads_s = (double)c.store_reads / 10;
     for (unsigned i = 0; i < nodes * down; i++)
         fleet_set_down(f, i * 10, true);
     for (int i = 0; i < CHANGES; i++) {
-        fleet_costs(f);
+        fleet_take_costs(f);
         start = cpu_us();
-        double took = until_all(f, fleet_change(f, CHANGE_BYTES));
-        c = fleet_costs(f);
+        double took = run_until_converged(f, fleet_change(f, CHANGE_BYTES));
+        c = fleet_take_costs(f);
         s.delta_us += (cpu_us() - start) / nodes / CHANGES;
         s.seconds += took / CHANGES;
         s.worst_seconds = fmax(s.worst_seconds, took);
@@ -110,9 +125,9 @@
     } cases[] = { { 0, 0 }, { 0.01, 0 }, { 0.1, 0 }, { 0.01, 0.1 } };
     double x[8], seconds[8], bytes[8], memory[8];
     printf("\nA change of %d bytes (fan-out 3, exchange every %d ms): time to "
-           "all, bytes sent and\nreceived a node, the worst node; at rest: "
-           "bytes a second a node, processor time a\ntick, store reads a "
-           "second of all; memory a node\n",
+           "all, bytes sent and\nreceived per node, the worst node; idle: "
+           "bytes per second per node, CPU time per\ntick, store reads per "
+           "second of all nodes; memory per node\n",
            CHANGE_BYTES, GOSSIP_MS);
     printf("%6s %5s %5s %8s %8s %8s %8s %8s %8s %8s %8s %10s\n", "nodes",
            "loss", "down", "mean s", "worst s", "bytes", "worst B", "idle B/s",
@@ -122,7 +137,8 @@
         for (size_t k = 0; k < WP_COUNT(cases); k++) {
             if (sizes[i] == 3000 && k > 0)
                 continue; /* one case is enough to check the prediction */
-            Spread s = spread(sizes[i], cases[k].loss, cases[k].down);
+            Propagation s =
+                measure_propagation(sizes[i], cases[k].loss, cases[k].down);
             printf("%6u %5.2f %5.2f %8.2f %8.2f %8.0f %8.0f %8.0f %8.2f %8.1f "
                    "%8.1f %10.0f\n",
                    sizes[i], cases[k].loss, cases[k].down, s.seconds,
@@ -136,7 +152,8 @@
             memory[n++] = s.memory;
         }
     }
-    /* Predict the largest from the others, then compare. */
+    /* Predict the largest size from the others, and compare with the
+       measurement. */
     Fit fs = fit(x, seconds, n - 1), fb = fit(x, bytes, n - 1);
     double nodes[8];
     for (int i = 0; i < n; i++)
@@ -149,16 +166,17 @@
     fs = fit(x, seconds, n);
     fb = fit(x, bytes, n);
     fm = fit(nodes, memory, n);
-    double big = log2(13600);
-    printf("fits: seconds %.2f + %.3f log2(n), off by %.0f in 100 at most; "
-           "bytes %.0f + %.1f log2(n),\n%.0f in 100; memory %.0f + %.1f n, "
-           "%.0f in 100\n",
+    double log2_nodes = log2(13600);
+    printf("fits: seconds %.2f + %.3f log2(n), largest residual %.0f %%; "
+           "bytes %.0f + %.1f log2(n),\n%.0f %%; memory %.0f + %.1f n, "
+           "%.0f %%\n",
            fs.a, fs.b, 100 * fs.error, fb.a, fb.b, 100 * fb.error, fm.a, fm.b,
            100 * fm.error);
-    printf("at 13,600 nodes: worst %.2f s, %.0f bytes a node a change; memory "
-           "%.0f B a record of another box, %.1f MB a node\n",
-           fs.a + fs.b * big, fb.a + fb.b * big, fm.b,
-           (fm.a + fm.b * 13600) / 1e6);
+    printf(
+        "at 13,600 nodes: worst %.2f s, %.0f bytes per node per change; memory "
+        "%.0f B per record of another box, %.1f MB per node\n",
+        fs.a + fs.b * log2_nodes, fb.a + fb.b * log2_nodes, fm.b,
+        (fm.a + fm.b * 13600) / 1e6);
 }
 
 /* --- restarts --- */
@@ -169,7 +187,7 @@
            "serve\n");
     printf("%6s %-22s %10s %12s %10s\n", "nodes", "what", "seconds", "reads",
            "peak reads/s");
-    for (int what = 0; what < 3; what++) {
+    for (int scenario = 0; scenario < 3; scenario++) {
         FleetPlan p = { .nodes = 1000,
                         .zones = 20,
                         .seed = 3,
@@ -177,11 +195,13 @@
                         .fanout = 3,
                         .versions = 32 };
         Fleet *f = fleet_new(&p);
-        fleet_settle(f);
+        fleet_start_converged(f);
         unsigned n = 0;
         for (unsigned i = 0; i < 1000; i++) {
-            bool hit = what == 0 ? i == 7 : what == 1 ? i % 20 == 3 : true;
-            if (hit) {
+            bool restarted = scenario == 0   ? i == 7
+                             : scenario == 1 ? i % 20 == 3
+                                             : true;
+            if (restarted) {
                 fleet_restart(f, i);
                 n++;
             }
@@ -191,7 +211,7 @@
         while (!all && seconds < 60) {
             fleet_run(f, WP_US_PER_S / 4);
             seconds += 0.25;
-            double r = (double)fleet_costs(f).store_reads;
+            double r = (double)fleet_take_costs(f).store_reads;
             reads += r;
             peak = fmax(peak, r * 4);
             all = true;
@@ -199,15 +219,15 @@
                 all = wp_node_ready(fleet_node(f, i));
         }
         printf("%6u %-22s %10.2f %12.0f %10.0f\n", n,
-               what == 0   ? "one box"
-               : what == 1 ? "a zone of twenty"
-                           : "the whole fleet",
+               scenario == 0   ? "one box"
+               : scenario == 1 ? "a zone of twenty"
+                               : "the whole fleet",
                seconds, reads, peak);
         fleet_free(f);
     }
 }
 
-/* --- memory of single things --- */
+/* --- memory per object --- */
 
 static WPConfig *config_of(unsigned rules)
 {
@@ -244,9 +264,9 @@
     double before = heap_bytes(), start = cpu_us();
     WPConfig *c = config_of(1000);
     WPPolicy *p = wp_policy_new(c);
-    printf("%-34s %8.0f B\n", "a rule, held and compiled",
+    printf("%-34s %8.0f B\n", "a rule, stored and compiled",
            (heap_bytes() - before) / 1000);
-    printf("%-34s %8.2f us\n", "  taking in and compiling, each",
+    printf("%-34s %8.2f us\n", "  applying and compiling, each",
            (cpu_us() - start) / 1000);
     wp_policy_unref(p);
     wp_config_free(c);
@@ -270,7 +290,7 @@
            (heap_bytes() - before) / 4000);
     now.mono_us = WP_US_PER_S;
     const WPBillBatch *batch = wp_bills_next_batch(b, now, true);
-    printf("%-34s %8.0f B\n", "  the same in a batch on its way",
+    printf("%-34s %8.0f B\n", "  the same, serialized in a batch",
            (double)batch->value->len / 4000);
     wp_bills_free(b);
 }
@@ -304,11 +324,11 @@
         r[i]->version = g_strdup("tagger-2");
         r[i]->new_session_token = g_strnfill(190, 'x');
     }
-    printf("%-34s %8.0f B\n", "a request's decisions at the entry",
+    printf("%-34s %8.0f B\n", "routing state of a request (entry)",
            (heap_bytes() - before) / N - sizeof(void *));
     for (int i = 0; i < N; i++)
         wp_request_free(r[i]);
-    printf("%-34s %8zu B\n", "an endpoint as the entry sees it",
+    printf("%-34s %8zu B\n", "an endpoint's record at the entry",
            sizeof(WPEndpoint) + 64);
     printf("%-34s %8d B\n", "a session", 0);
 }
@@ -325,7 +345,7 @@
     f.body_case = WP__FRAME__BODY_PING;
     f.ping = &p;
     p.sent_us = 1ULL << 40;
-    printf("%-34s %8zu B\n", "a probe on its way",
+    printf("%-34s %8zu B\n", "a probe frame",
            wp__frame__get_packed_size(&f) + 4);
     l.has_service_us = 1;
     l.running = l.queued = l.slots = 8;
@@ -334,14 +354,14 @@
     f.body_case = WP__FRAME__BODY_PONG;
     f.pong = &pong;
     pong.sent_us = p.sent_us;
-    printf("%-34s %8zu B\n", "its answer with the load",
+    printf("%-34s %8zu B\n", "its response with the load",
            wp__frame__get_packed_size(&f) + 4);
 }
 
 int main(void)
 {
     setvbuf(stdout, NULL, _IOLBF, 0);
-    printf("Sizes of single things\n");
+    printf("Memory per object and sizes of frames\n");
     memory_of_rules();
     memory_of_bills();
     memory_of_keys();
--- a/bench/wpspeed.c
+++ b/bench/wpspeed.c
@@ -1,6 +1,6 @@
-/* wpspeed: what entry and agent add, with real processes on loopback: latency
- * against the endpoint itself, tokens relayed a second and core, memory with
- * many open streams. */
+/* wpspeed: measures the overhead of entry and agent with real processes on
+ * loopback: latency compared with calling the endpoint directly, tokens
+ * relayed per second and CPU core, and memory with many open streams. */
 #include "site.h"
 #include "wp_pb.h"
 
@@ -14,6 +14,7 @@
 #define STREAM_TOKENS 400
 #define OPEN_STREAMS 5000
 
+/* CPU seconds that the process has used. */
 static double cpu_s(const Proc *p)
 {
     g_autofree char *file = g_strdup_printf("/proc/%d/stat", p->pid);
@@ -27,6 +28,7 @@
     return (double)(user + system) / (double)sysconf(_SC_CLK_TCK);
 }
 
+/* Resident memory of the process in MB. */
 static double resident_mb(const Proc *p)
 {
     g_autofree char *file = g_strdup_printf("/proc/%d/status", p->pid);
@@ -36,6 +38,8 @@
     return rss ? strtod(rss + 6, NULL) / 1024 : 0;
 }
 
+/* Starts a site of one entry, one engine agent and one service agent; ends the
+   process if it does not come up. */
 static Site *start(unsigned slots, unsigned step_us)
 {
     static Wp__Scenario plan;
@@ -47,13 +51,15 @@
     plan.slots = slots;
     plan.step_us = step_us;
     Site *s = site_new(&plan, bin, NULL);
-    if (!site_up(s)) {
-        fprintf(stderr, "%s\n", s->why->str);
+    if (!site_start_all(s)) {
+        fprintf(stderr, "%s\n", s->error_text->str);
         exit(1);
     }
     return s;
 }
 
+/* Sends requests of this item to a port of 127.0.0.1, and waits until all have
+   ended. */
 static Load *run(Site *s, Wp__MixItem *item, double rate, double seconds,
                  uint16_t port)
 {
@@ -70,7 +76,7 @@
     Load *l = load_new(s->base, &mix, targets, 1, NULL, NULL);
     load_start(l);
     while (!load_done(l))
-        site_pump(s, 10);
+        site_run_loop(s, 10);
     return l;
 }
 
@@ -98,8 +104,8 @@
         Load *l = run(s, &item, LATENCY_RATE, LATENCY_S,
                       site_proc(s, through ? "e1" : "x2")->port);
         const LoadResult *r = load_result(l);
-        p50[through] = sample_quantile(r->whole_ms, 0.5);
-        p99[through] = sample_quantile(r->whole_ms, 0.99);
+        p50[through] = sample_quantile(r->complete_ms, 0.5);
+        p99[through] = sample_quantile(r->complete_ms, 0.99);
         printf("%-9s %lu of %lu answered, p50 %.3f ms, p99 %.3f ms\n",
                through ? "through:" : "direct:", (unsigned long)r->ok,
                (unsigned long)r->sent, p50[through], p99[through]);
@@ -107,7 +113,7 @@
     }
     double n = LATENCY_RATE * LATENCY_S;
     printf("added:    p50 %.3f ms (%.2f times), p99 %.3f ms (%.2f times); "
-           "entry %.0f us, agent %.0f us of processor a request\n",
+           "entry %.0f us, agent %.0f us of CPU per request\n",
            p50[1] - p50[0], p50[1] / p50[0], p99[1] - p99[0], p99[1] / p99[0],
            (cpu_s(e) - entry) / n * 1e6, (cpu_s(a) - agent) / n * 1e6);
     site_free(s);
@@ -138,7 +144,7 @@
     agent = cpu_s(a) - agent;
     double n = (double)load_result(l)->ok * STREAM_TOKENS;
     printf("%lu streams of %d tokens at once: %.0f tokens/s; entry %.0f "
-           "tokens/s and core, agent %.0f\n",
+           "tokens/s per core, agent %.0f\n",
            (unsigned long)load_result(l)->ok, STREAM_TOKENS, n / seconds,
            n / entry, n / agent);
     load_free(l);
@@ -163,7 +169,7 @@
     load_start(l);
     int open = 0;
     for (int i = 0; i < 300 && open < OPEN_STREAMS * 9 / 10; i++) {
-        site_pump(s, 50);
+        site_run_loop(s, 50);
         json_t *j = site_fetch(s, e->admin_port, "/v1/status", NULL);
         open = (int)json_integer_value(json_object_get(j, "requests"));
         json_decref(j);
@@ -179,7 +185,7 @@
 int main(void)
 {
     setvbuf(stdout, NULL, _IOLBF, 0);
-    printf("\nEntry and agent in the way, real processes, %d requests/s of a "
+    printf("\nOverhead of entry and agent, real processes, %d requests/s of a "
            "plain service\n",
            LATENCY_RATE);
     latency();
--- a/gen/config.pb-c.h
+++ b/gen/config.pb-c.h
@@ -61,7 +61,8 @@
 
 
 /*
- * One servable version of a model, or one plain service (service set).
+ * A version of a model, or of a plain service, which has no model: then
+ * `service` is set.
  */
 struct  Wp__Version
 {
@@ -81,12 +82,12 @@
   protobuf_c_boolean has_cost_out;
   double cost_out;
   /*
-   * 0..1
+   * Expected quality, 0 to 1.
    */
   protobuf_c_boolean has_quality_prior;
   double quality_prior;
   /*
-   * ratings' worth
+   * counts as so many ratings
    */
   protobuf_c_boolean has_prior_weight;
   double prior_weight;
@@ -110,21 +111,21 @@
 
 
 /*
- * One kind of request and how it may be treated.
+ * A kind of request, and the rules for its handling.
  */
 struct  Wp__Kind
 {
   ProtobufCMessage base;
   char *name;
   /*
-   * 0 is served first
+   * Priority class; 0 is served first.
    */
   protobuf_c_boolean has_class_rank;
   uint32_t class_rank;
   protobuf_c_boolean has_repeatable;
   protobuf_c_boolean repeatable;
   /*
-   * plans and drafts
+   * For plans and drafts: versions are not chosen for exploration.
    */
   protobuf_c_boolean has_strict;
   protobuf_c_boolean strict;
@@ -167,14 +168,14 @@
 
 
 /*
- * Attaches labels to what its `match` selects.
+ * Adds the labels in `set` to the objects or requests that `match` selects.
  */
 struct  Wp__Rule
 {
   ProtobufCMessage base;
   char *name;
   /*
-   * model, version, workspace or request
+   * To what labels are added: model, version, workspace or request.
    */
   char *on;
   char *match;
@@ -188,7 +189,8 @@
 
 
 /*
- * Says which labelled versions may serve which labelled traffic.
+ * Allows or forbids the versions that the label selector `versions` matches to
+ * serve the traffic that the label selector `traffic` matches.
  */
 struct  Wp__Selector
 {
@@ -220,7 +222,7 @@
   char *name;
   char *secret;
   /*
-   * signs; else only accepted
+   * Whether the key signs new tokens; otherwise it only verifies them.
    */
   protobuf_c_boolean has_active;
   protobuf_c_boolean active;
@@ -232,6 +234,9 @@
     , NULL, NULL, 0, 1, 0, 0 }
 
 
+/*
+ * From the time `at_ms` on, the new version has this share of the traffic.
+ */
 struct  Wp__SharePoint
 {
   ProtobufCMessage base;
@@ -244,7 +249,7 @@
 
 
 /*
- * A move of traffic from one version to another.
+ * A gradual shift of traffic from one version to another.
  */
 struct  Wp__Rollout
 {
@@ -333,7 +338,8 @@
 
 
 /*
- * One operation of a change; no value means removal.
+ * One operation of a change: writes the object, or deletes it if `value` is not
+ * set.
  */
 struct  Wp__Op
 {
@@ -343,7 +349,7 @@
    */
   char *key;
   /*
-   * a packed Object
+   * a serialized Object
    */
   protobuf_c_boolean has_value;
   ProtobufCBinaryData value;
@@ -354,7 +360,8 @@
 
 
 /*
- * One accepted change: turns revision `prev` into `revision`.
+ * One accepted change, which leads from revision `prev` of the configuration to
+ * `revision`.
  */
 struct  Wp__Delta
 {
@@ -371,6 +378,9 @@
     , 0, 0, NULL, NULL, 0,NULL }
 
 
+/*
+ * The complete configuration at one revision.
+ */
 struct  Wp__Snapshot
 {
   ProtobufCMessage base;
--- a/gen/settings.pb-c.h
+++ b/gen/settings.pb-c.h
@@ -32,7 +32,7 @@
 /* --- messages --- */
 
 /*
- * Common to entry and agent.
+ * Settings that entries and agents have in common.
  */
 struct  Wp__NodeSettings
 {
@@ -53,7 +53,7 @@
   size_t n_seeds;
   char **seeds;
   /*
-   * host:port of the list of boxes
+   * host:port of the service that lists the boxes
    */
   char *boxes;
   /*
@@ -83,7 +83,7 @@
   protobuf_c_boolean has_bill_limit;
   uint32_t bill_limit;
   /*
-   * guards switched off, for scenarios only
+   * Names of guards to disable (src/wp_guard.h), for scenarios only.
    */
   size_t n_test_off;
   char **test_off;
@@ -165,13 +165,13 @@
 
 
 /*
- * One stand-in process; fields of other kinds are left out.
+ * Settings of a stand-in process.  Each kind uses only some of them.
  */
 struct  Wp__StandSettings
 {
   ProtobufCMessage base;
   /*
-   * kv, engine, service, boxes, ratings, pstore, replica
+   * One of: kv, engine, service, boxes, ratings, pstore, replica.
    */
   char *kind;
   char *listen;
@@ -187,7 +187,7 @@
   protobuf_c_boolean has_lag_ms;
   uint32_t lag_ms;
   /*
-   * version: probability of a good answer
+   * Key: version, value: probability of a good answer.
    */
   size_t n_quality;
   Wp__Label **quality;
@@ -197,32 +197,33 @@
   protobuf_c_boolean has_prefix_cache;
   uint32_t prefix_cache;
   /*
-   * of a replica: what it is listed with
+   * This and the next three fields: the registry entry of a replica.
    */
   char *service;
   char *version;
   char *zone;
   /*
-   * 0: the port itself
+   * 0: the same as `port`
    */
   protobuf_c_boolean has_listed_port;
   uint32_t listed_port;
   /*
-   * a replica appends the id of each run
+   * File to which a replica appends the id of each request that it runs.
    */
   char *run_log;
   /*
-   * at each start
+   * Whether a replica has the same id after each start.
    */
   protobuf_c_boolean has_same_id;
   protobuf_c_boolean same_id;
   /*
-   * after a start
+   * How long a replica is cold after a start.
    */
   protobuf_c_boolean has_cold_ms;
   uint32_t cold_ms;
   /*
-   * requests that it bears in a
+   * Requests per second that a replica can take while it is cold; 0: any
+   * number.
    */
   protobuf_c_boolean has_cold_most;
   uint32_t cold_most;
@@ -236,7 +237,8 @@
 
 
 /*
- * States, events and transitions of a chart file.
+ * A state chart, as read from a chart file: its states and, for each event, the
+ * transitions between them.
  */
 struct  Wp__ChartTransition
 {
@@ -254,7 +256,7 @@
   ProtobufCMessage base;
   char *name;
   /*
-   * below 0: keep
+   * Share of the new version; below 0: as in the previous state.
    */
   protobuf_c_boolean has_share;
   double share;
@@ -266,12 +268,12 @@
   size_t n_on;
   Wp__ChartTransition **on;
   /*
-   * that the gate wants
+   * Ratings that the quality gate requires.
    */
   protobuf_c_boolean has_ratings;
   uint32_t ratings;
   /*
-   * of the order's duration
+   * Duration of the state, as a fraction of the order's duration.
    */
   protobuf_c_boolean has_dwell_part;
   double dwell_part;
@@ -296,7 +298,7 @@
 
 
 /*
- * An entry that calls endpoints itself, without agents beside them.
+ * Settings of an entry that calls endpoints directly, without agents.
  */
 struct  Wp__DirectSettings
 {
@@ -304,19 +306,19 @@
   char *id;
   char *zone;
   /*
-   * the box's address
+   * address of the box
    */
   char *listen;
   /*
-   * host:port, for callers
+   * host:port for callers
    */
   char *http;
   /*
-   * host:port, for the balancer
+   * Host:port for the readiness checks of the load balancer.
    */
   char *ready;
   /*
-   * host:port, for the other boxes
+   * host:port for the other boxes
    */
   char *peers;
   /*
@@ -334,7 +336,8 @@
   char *log_level;
   char *log_format;
   /*
-   * Durations may have decimals: operators give some in seconds.
+   * Durations are doubles, as operators give some of them in seconds with
+   * decimals.
    */
   protobuf_c_boolean has_drain_s;
   double drain_s;
@@ -349,129 +352,143 @@
   protobuf_c_boolean has_log_kb_per_s;
   uint32_t log_kb_per_s;
   /*
-   * good half the time
+   * Confidence, 0 to 100, at which half of the answers are good.
    */
   protobuf_c_boolean has_confidence_even;
   double confidence_even;
   /*
-   * its deviation
+   * Standard deviation of the normal distribution about it.
    */
   protobuf_c_boolean has_confidence_spread;
   double confidence_spread;
   /*
-   * by size
+   * Value of a good answer per 1,000 units of size (prompt tokens plus ten
+   * times the generated tokens).
    */
   protobuf_c_boolean has_answer_value;
   double answer_value;
   /*
-   * whatever its length
+   * Value of a good answer of any size, in addition.
    */
   protobuf_c_boolean has_request_value;
   double request_value;
   /*
-   * part of the aim
+   * Fraction of the target time to first byte from which overload counts.
    */
   protobuf_c_boolean has_strain_from;
   double strain_from;
+  /*
+   * Price of prefill time under overload (WPCascadeRules in src/wp_cascade.h).
+   */
   protobuf_c_boolean has_strain_weight;
   double strain_weight;
+  /*
+   * Weights in an endpoint's score, for each of the following (WPFleetRules in
+   * src/wp_fleet.h).
+   */
+  /*
+   * endpoint in another zone
+   */
   protobuf_c_boolean has_weigh_zone;
   double weigh_zone;
   /*
-   * each KB of a prompt
+   * KB of a prompt that is sent to another zone.
    */
   protobuf_c_boolean has_weigh_zone_kb;
   double weigh_zone_kb;
   /*
-   * a second to first bytes
+   * Second of time to first byte.
    */
   protobuf_c_boolean has_weigh_time;
   double weigh_time;
   /*
-   * of a shared prompt
+   * Affinity endpoint of a shared prompt (a bonus).
    */
   protobuf_c_boolean has_weigh_home;
   double weigh_home;
   /*
-   * 1,000 read again
+   * 1,000 shared tokens that are prefilled again.
    */
   protobuf_c_boolean has_weigh_read_kt;
   double weigh_read_kt;
   /*
-   * 1,000 moved; 0: none
+   * 1,000 cached tokens that are transferred; 0: no transfers.
    */
   protobuf_c_boolean has_weigh_move_kt;
   double weigh_move_kt;
+  /*
+   * Unit by which the ratio of observed to predicted latency exceeds 1.
+   */
   protobuf_c_boolean has_weigh_slow;
   double weigh_slow;
   /*
-   * candidates; 0: all
+   * Endpoints sampled for a request; 0: all.
    */
   protobuf_c_boolean has_choices;
   uint32_t choices;
   /*
-   * what engines keep is noted
+   * Whether to track which prompt prefixes engines have cached.
    */
   protobuf_c_boolean has_keep_prompts;
   protobuf_c_boolean keep_prompts;
   /*
-   * of streams that pause
+   * stream that stalls
    */
   protobuf_c_boolean has_weigh_pause;
   double weigh_pause;
   /*
-   * boxes tell their sends
+   * Whether boxes of a zone send each other updates on endpoints.
    */
   protobuf_c_boolean has_zone_news;
   protobuf_c_boolean zone_news;
   /*
-   * Requests that reach a cold endpoint in a second: so many times what its
-   * service tells, and so many besides.
+   * Requests per second that the platform tolerates at a cold endpoint: the
+   * rate that its service sets, times `cold_overshoot`, plus `cold_slack`.
    */
   protobuf_c_boolean has_cold_overshoot;
   double cold_overshoot;
   protobuf_c_boolean has_cold_slack;
   double cold_slack;
   /*
-   * A change of the store is in force everywhere within this.
+   * Time within which a change in the store must be active on every box.
    */
   protobuf_c_boolean has_apply_ms;
   double apply_ms;
   protobuf_c_boolean has_memory_mb;
   double memory_mb;
   /*
-   * of the whole system
+   * Whether this is the first start of the whole system.
    */
   protobuf_c_boolean has_first_start;
   protobuf_c_boolean first_start;
   /*
-   * host:port of some boxes, perhaps stale
+   * host:port of some boxes; may be out of date
    */
   size_t n_seeds;
   char **seeds;
   /*
-   * Where usage is reported to (host:port); empty: nowhere.
+   * host:port to which usage is reported; empty: usage is not reported.
    */
   char *report_to;
   /*
-   * what it takes, in the platform's words
+   * Duties that this box may take, by the platform's names.
    */
   size_t n_duties;
   char **duties;
   /*
-   * 0: none is reported
+   * 0: usage is not reported.
    */
   protobuf_c_boolean has_usage_window_s;
   double usage_window_s;
   /*
-   * due so long after its end
+   * Delay from the end of a window until its report is due.
    */
   protobuf_c_boolean has_usage_late_s;
   double usage_late_s;
   protobuf_c_boolean has_duty_lease_ms;
   double duty_lease_ms;
   /*
-   * "ZONE=AREA"
+   * each "ZONE=AREA"
    */
   size_t n_areas;
   char **areas;
--- a/gen/tools.pb-c.h
+++ b/gen/tools.pb-c.h
@@ -29,7 +29,7 @@
 /* --- messages --- */
 
 /*
- * One part of the traffic.
+ * One kind of call in a traffic mix.
  */
 struct  Wp__MixItem
 {
@@ -46,7 +46,7 @@
   protobuf_c_boolean has_stream;
   protobuf_c_boolean stream;
   /*
-   * living at once; 0: none
+   * Concurrent sessions; 0: calls have none.
    */
   protobuf_c_boolean has_sessions;
   uint32_t sessions;
@@ -61,7 +61,7 @@
   protobuf_c_boolean has_heavy_tail;
   protobuf_c_boolean heavy_tail;
   /*
-   * same key again, elsewhere
+   * Retries with the same key through another entry.
    */
   protobuf_c_boolean has_repeats;
   uint32_t repeats;
@@ -71,6 +71,9 @@
     , NULL, NULL, NULL, 0, 1, 0, 50u, 0, 20u, 0, 1, 0, 0u, 0, 0, NULL, 0, 20000u, 0, 0, 0, 0u }
 
 
+/*
+ * Multiplies the rate of the mix by `factor` for some time.
+ */
 struct  Wp__Burst
 {
   ProtobufCMessage base;
@@ -87,7 +90,7 @@
 {
   ProtobufCMessage base;
   /*
-   * requests a second
+   * requests per second
    */
   protobuf_c_boolean has_rate;
   double rate;
@@ -102,7 +105,7 @@
   protobuf_c_boolean has_rated_share;
   double rated_share;
   /*
-   * different prompt beginnings
+   * Number of different prompt prefixes.
    */
   protobuf_c_boolean has_prefixes;
   uint32_t prefixes;
@@ -113,14 +116,14 @@
 
 
 /*
- * One step of a scenario; docs/SCENARIOS.md lists the words.
+ * One step of a scenario; docs/SCENARIOS.md lists the values of `do`.
  */
 struct  Wp__Step
 {
   ProtobufCMessage base;
   char *do_;
   /*
-   * a process, a mark or a measure
+   * a process, a mark or a measured value
    */
   char *name;
   /*
@@ -132,7 +135,7 @@
    */
   char *value;
   /*
-   * longest wait
+   * maximum time to wait
    */
   protobuf_c_boolean has_seconds;
   double seconds;
@@ -153,19 +156,19 @@
   ProtobufCMessage base;
   char *name;
   /*
-   * the line of the brief it proves
+   * the requirement in the brief that it verifies
    */
   char *promise;
   protobuf_c_boolean has_entries;
   uint32_t entries;
   /*
-   * the last is a plain service's
+   * The last one is of a plain service.
    */
   protobuf_c_boolean has_agents;
   uint32_t agents;
   char *rules;
   /*
-   * guard whose absence must fail it
+   * Guard (src/wp_guard.h) without which it must fail.
    */
   char *fails_without;
   protobuf_c_boolean has_seed;
@@ -179,7 +182,7 @@
   size_t n_steps;
   Wp__Step **steps;
   /*
-   * further lines for each node's settings
+   * additional lines for the settings of each node
    */
   size_t n_node;
   char **node;
--- a/gen/wire.pb-c.h
+++ b/gen/wire.pb-c.h
@@ -75,6 +75,9 @@
   WP__ROLE__ROLE_TOOL = 3
     PROTOBUF_C__FORCE_ENUM_TO_BE_INT_SIZE(WP__ROLE)
 } Wp__Role;
+/*
+ * Whether a request that was refused has been run.
+ */
 typedef enum _Wp__Ran {
   WP__RAN__RAN_NOT_RUN = 0,
   WP__RAN__RAN_RAN = 1,
@@ -84,6 +87,9 @@
 
 /* --- messages --- */
 
+/*
+ * Load of an agent.
+ */
 struct  Wp__Load
 {
   ProtobufCMessage base;
@@ -91,7 +97,7 @@
   uint32_t queued;
   uint32_t slots;
   /*
-   * smoothed time a request holds a slot
+   * Smoothed time for which a request holds a slot.
    */
   protobuf_c_boolean has_service_us;
   uint32_t service_us;
@@ -104,7 +110,8 @@
 
 
 /*
- * What the fleet knows of one box; the higher (incarnation, seq) wins.
+ * The membership record of one box.  Of two records, the one with the higher
+ * (incarnation, seq) is the newer.
  */
 struct  Wp__Member
 {
@@ -142,6 +149,9 @@
     , NULL }
 
 
+/*
+ * Starts an attempt of a request at an agent.
+ */
 struct  Wp__Start
 {
   ProtobufCMessage base;
@@ -159,6 +169,9 @@
    */
   protobuf_c_boolean has_budget_ms;
   uint32_t budget_ms;
+  /*
+   * number of the attempt
+   */
   protobuf_c_boolean has_leg;
   uint32_t leg;
   char *once_key;
@@ -168,7 +181,7 @@
   protobuf_c_boolean has_once_ms;
   uint64_t once_ms;
   /*
-   * bytes the entry can take at first
+   * initial flow control window, in bytes
    */
   protobuf_c_boolean has_window;
   uint32_t window;
@@ -177,7 +190,7 @@
   char *entry;
   char *method;
   /*
-   * of a cascade
+   * of a model cascade
    */
   protobuf_c_boolean has_step;
   uint32_t step;
@@ -187,7 +200,7 @@
   protobuf_c_boolean has_answer_tokens;
   uint32_t answer_tokens;
   /*
-   * the caller asked for it
+   * the caller requested token counts
    */
   protobuf_c_boolean has_want_usage;
   protobuf_c_boolean want_usage;
@@ -279,6 +292,9 @@
      }
 
 
+/*
+ * Enlarges the flow control window.
+ */
 struct  Wp__Window
 {
   ProtobufCMessage base;
@@ -310,7 +326,7 @@
 
 
 /*
- * Quality evidence of one (kind, version), summed over the fleet's ratings.
+ * Sum of all ratings of one version for one kind of request.
  */
 struct  Wp__RatingSum
 {
@@ -338,7 +354,8 @@
 
 
 /*
- * What a box knows, in a few bytes, for the periodic exchange.
+ * Short summary of what a box knows, which boxes exchange periodically to find
+ * out who has newer data.
  */
 struct  Wp__Digest
 {
@@ -357,6 +374,9 @@
     , 0, 0, 0, 0, 0, 0, 0, 0 }
 
 
+/*
+ * Requests the data that the receiver has and the sender lacks.
+ */
 struct  Wp__Pull
 {
   ProtobufCMessage base;
@@ -395,7 +415,7 @@
   size_t n_members;
   Wp__Member **members;
   /*
-   * answer with newer ones of these
+   * Buckets whose newer records are requested in return.
    */
   size_t n_buckets;
   uint32_t *buckets;
@@ -406,7 +426,7 @@
 
 
 /*
- * One hash per bucket of the sender's member table.
+ * One hash per bucket of the sender's membership table.
  */
 struct  Wp__Buckets
 {
@@ -420,7 +440,8 @@
 
 
 /*
- * Bills up to this number, of this entry's requests, are in the store.
+ * All bills for the receiving entry's requests, up to this number, have been
+ * written to the store.
  */
 struct  Wp__Settled
 {
@@ -433,7 +454,8 @@
 
 
 /*
- * A key that may not be repeated, passed on by an agent that leaves.
+ * Idempotency key of a request that must not be repeated, handed over by one
+ * agent to another.
  */
 struct  Wp__OnceKey
 {
@@ -447,8 +469,9 @@
 
 
 /*
- * The keys that fall to the receiver; without any, only the word that
- * nothing of the sender's is missing.
+ * The idempotency keys that the receiver owns from now on. Sent without keys if
+ * there are none, so that the receiver knows that it lacks none of the
+ * sender's.
  */
 struct  Wp__Handover
 {
@@ -464,7 +487,7 @@
 
 
 /*
- * One use of an endpoint, to be charged once for its request id.
+ * One use of an endpoint, which is charged once per request id.
  */
 struct  Wp__Bill
 {
@@ -482,7 +505,7 @@
   uint64_t seq;
   char *entry;
   /*
-   * of a cascade; charged once a step
+   * of a model cascade; each step is charged once
    */
   protobuf_c_boolean has_step;
   uint32_t step;
@@ -492,6 +515,9 @@
     , NULL, NULL, NULL, NULL, 0, 0, 0, 0, 0, 0, 0, NULL, 0, 0 }
 
 
+/*
+ * Bills that one process writes to the store under one key.
+ */
 struct  Wp__BillBatch
 {
   ProtobufCMessage base;
@@ -507,15 +533,15 @@
 
 
 /*
- * A bill that is not in the store yet, and whose it is: the agent's that made
- * it, or the sending entry's own.
+ * A bill that is not in the store yet.  Its owner is the agent that created it,
+ * or the sending entry itself.
  */
 struct  Wp__HeldBill
 {
   ProtobufCMessage base;
   char *owner;
   /*
-   * the owner's
+   * of the owner
    */
   uint64_t incarnation;
   Wp__Bill *bill;
@@ -526,7 +552,7 @@
 
 
 /*
- * Bills of this owner up to this number are in the store.
+ * All bills of this owner up to this number are in the store.
  */
 struct  Wp__SettledUpTo
 {
@@ -541,7 +567,8 @@
 
 
 /*
- * What an entry knows of unsettled bills, for another entry to keep.
+ * The bills that an entry knows and that are not in the store yet, sent to the
+ * entry that keeps a backup copy of them.
  */
 struct  Wp__Witness
 {
@@ -559,7 +586,7 @@
 
 
 /*
- * One entry of the store as some box has read it.
+ * One entry of the store, as a box has read it.
  */
 struct  Wp__MirrorItem
 {
@@ -571,17 +598,18 @@
   protobuf_c_boolean has_removed;
   protobuf_c_boolean removed;
   /*
-   * the value by zlib, when that is shorter
+   * The value compressed by zlib, if that is shorter.
    */
   protobuf_c_boolean has_packed;
   ProtobufCBinaryData packed;
   /*
-   * of the value before
+   * of the value before compression
    */
   protobuf_c_boolean has_size;
   uint32_t size;
   /*
-   * removed, but perhaps only while the store was away
+   * Removed, but perhaps only by a lease that expired while the store was
+   * unavailable.
    */
   protobuf_c_boolean has_lapsed;
   protobuf_c_boolean lapsed;
@@ -592,7 +620,8 @@
 
 
 /*
- * What a box's answers said of a version that a service is moving to.
+ * Statistics by which the new version of a traffic shift is judged, as counted
+ * by one incarnation of a box's process.
  */
 struct  Wp__MoveSums
 {
@@ -609,44 +638,44 @@
   protobuf_c_boolean has_slow;
   uint32_t slow;
   /*
-   * requests still on other versions
+   * requests in flight on other versions
    */
   protobuf_c_boolean has_old_running;
   uint32_t old_running;
   /*
-   * answers that could show slowness
+   * Answers whose time could be compared by quartiles.
    */
   protobuf_c_boolean has_timed;
   uint32_t timed;
   /*
-   * answers of replicas that were half full
+   * Answers of replicas with at least half of their slots in use.
    */
   protobuf_c_boolean has_loaded;
   uint32_t loaded;
   protobuf_c_boolean has_loaded_failed;
   uint32_t loaded_failed;
   /*
-   * replicas that failed some of those
+   * Number of replicas on which some of those failed.
    */
   protobuf_c_boolean has_loaded_bad;
   uint32_t loaded_bad;
   /*
-   * of `timed`, as fast as the old's first quarter
+   * Of `timed`: below the first quartile of the old version.
    */
   protobuf_c_boolean has_fast;
   uint32_t fast;
   /*
-   * of `timed`, thousandths of places taken, summed
+   * Of `timed`: utilization of the endpoints in thousandths, added up.
    */
   protobuf_c_boolean has_taken;
   uint64_t taken;
   /*
-   * whole answers of a plain service, with a time
+   * Complete answers of a plain service with a known time.
    */
   protobuf_c_boolean has_wholes;
   uint32_t wholes;
   /*
-   * of those, several times as long as usual
+   * Of those: several times as long as on the old version.
    */
   protobuf_c_boolean has_far;
   uint32_t far;
@@ -656,35 +685,38 @@
   protobuf_c_boolean has_open;
   protobuf_c_boolean open;
   /*
-   * the sender finds the version bad
+   * the sender has found the version bad
    */
   protobuf_c_boolean has_bad;
   protobuf_c_boolean bad;
   /*
-   * of the sender's process
+   * incarnation of the sender's process
    */
   protobuf_c_boolean has_life;
   uint64_t life;
   /*
-   * since the move began; absent: it has not
+   * Time since the start of the shift; absent: it has not started.
    */
   protobuf_c_boolean has_elapsed_ms;
   uint64_t elapsed_ms;
   /*
-   * failures on enough endpoints
+   * Failures on so many endpoints that they are the version's fault.
    */
   protobuf_c_boolean has_fails_spread;
   protobuf_c_boolean fails_spread;
   /*
-   * slowness, the same
+   * the same of slow answers
    */
   protobuf_c_boolean has_slow_spread;
   protobuf_c_boolean slow_spread;
   /*
-   * of the old version
+   * Answers of the old version at the same boxes.
    */
   protobuf_c_boolean has_old_answered;
   uint32_t old_answered;
+  /*
+   * of those
+   */
   protobuf_c_boolean has_old_failed;
   uint32_t old_failed;
 };
@@ -694,8 +726,8 @@
 
 
 /*
- * What a box keeps in the store of a move that runs, so that it outlasts a loss
- * of all boxes.
+ * A box's record in the store about a running traffic shift.  Without it, what
+ * the boxes know of the shift would be lost if all of them stop.
  */
 struct  Wp__MoveRecord
 {
@@ -705,11 +737,11 @@
    */
   uint64_t order;
   /*
-   * since the move began
+   * since the start of the shift
    */
   uint64_t elapsed_ms;
   /*
-   * of this box's processes
+   * One for each incarnation of this box's process.
    */
   size_t n_lives;
   Wp__MoveSums **lives;
@@ -720,7 +752,7 @@
 
 
 /*
- * All entries up to this revision of the store are known to the sender.
+ * What a box knows of the store: all changes up to revision `complete`.
  */
 struct  Wp__MirrorDigest
 {
@@ -734,38 +766,40 @@
   protobuf_c_boolean has_blind;
   protobuf_c_boolean blind;
   /*
-   * of the store, as the sender knows them
+   * number of store entries that the sender knows
    */
   protobuf_c_boolean has_entries;
   uint32_t entries;
   /*
-   * since a box had an answer of the store
+   * since the store last answered any box
    */
   protobuf_c_boolean has_age_ms;
   uint32_t age_ms;
   /*
-   * "SERVICE VERSION" of those that the sender found to fail on loaded endpoints.
+   * "SERVICE VERSION" of the versions that the sender found to fail under load.
    */
   size_t n_fails_loaded;
   char **fails_loaded;
   /*
-   * Sessions that a move's first stage must leave on the old version.
+   * Hashes of sessions that a shift must leave on the old version during its
+   * first half.
    */
   size_t n_bound;
   uint64_t *bound;
   /*
-   * Sessions that are on the version that a move leads to.
+   * Hashes of sessions that are on the new version of a shift.
    */
   size_t n_moved;
   uint64_t *moved;
   /*
-   * Sessions that were on a version that a move has left.
+   * Hashes of sessions that were on a version which a completed shift retired.
    */
   size_t n_left;
   uint64_t *left;
   /*
-   * What endpoints keep of prompts that the sender has sent there: hashes of
-   * the endpoint's id and of the prompt's beginning and model, and its tokens.
+   * Prefixes of prompts that the sender has sent to endpoints and that these
+   * have cached: hash of the endpoint's id, hash of the prefix and the model,
+   * and the length of the prefix in tokens.
    */
   size_t n_kept_at;
   uint64_t *kept_at;
@@ -774,7 +808,7 @@
   size_t n_kept_tokens;
   uint32_t *kept_tokens;
   /*
-   * The sender's time of day, Unix ms, where usage is reported.
+   * The sender's wall-clock time, Unix ms, if it takes part in usage reporting.
    */
   protobuf_c_boolean has_clock_ms;
   uint64_t clock_ms;
@@ -785,7 +819,8 @@
 
 
 /*
- * What one run of a box's process has seen begin in a window, by workspace.
+ * Number of requests, by workspace, that began in a window at one incarnation
+ * of a box's process.
  */
 struct  Wp__UsageRow
 {
@@ -795,12 +830,12 @@
   size_t n_workspaces;
   char **workspaces;
   /*
-   * so far; the highest holds
+   * So far; of several rows the highest is valid.
    */
   size_t n_counts;
   uint32_t *counts;
   /*
-   * comes from another zone
+   * was received from another zone
    */
   protobuf_c_boolean has_far;
   protobuf_c_boolean far;
@@ -822,7 +857,7 @@
 
 
 /*
- * What is reported of a window, whoever reports it.
+ * The counts of a window as they are reported, whichever box reports them.
  */
 struct  Wp__SettledUsage
 {
@@ -839,22 +874,23 @@
 
 
 /*
- * The store's record of a duty that one box has at a time.
+ * The store's record of a duty that one box has at a time: its holder, and the
+ * windows whose counts are settled, that is, final.
  */
 struct  Wp__DutyRecord
 {
   ProtobufCMessage base;
   char *holder;
   /*
-   * rises with each change of the holder
+   * Fencing token; rises with each change of the holder.
    */
   uint64_t fence;
   /*
-   * the first window that is not settled
+   * the first window that is not settled yet
    */
   uint64_t next;
   /*
-   * not known to be reported
+   * Windows that may not have been reported yet.
    */
   size_t n_settled;
   Wp__SettledUsage **settled;
@@ -866,12 +902,15 @@
     , NULL, 0, 0, 0,NULL, 0, 0 }
 
 
+/*
+ * Requests the changes after revision `since`.
+ */
 struct  Wp__MirrorPull
 {
   ProtobufCMessage base;
   uint64_t since;
   /*
-   * the sender can read a packed delta
+   * the sender can read a compressed delta
    */
   protobuf_c_boolean has_packs;
   protobuf_c_boolean packs;
@@ -882,7 +921,7 @@
 
 
 /*
- * With all that has changed after `since`, up to `complete`.
+ * All changes after revision `since`, up to revision `complete`.
  */
 struct  Wp__MirrorDelta
 {
@@ -892,14 +931,16 @@
   size_t n_items;
   Wp__MirrorItem **items;
   /*
-   * In place of `items`: a MirrorDelta that has them, by zlib, and its size.
+   * In place of `items`: a serialized MirrorDelta with the items, compressed by
+   * zlib, and its size before compression.
    */
   protobuf_c_boolean has_packed;
   ProtobufCBinaryData packed;
   protobuf_c_boolean has_size;
   uint32_t size;
   /*
-   * Only the boxes of the asker's zone, which are to be asked for the rest.
+   * `items` has only the entries of boxes in the receiver's zone.  The receiver
+   * requests the rest from those boxes.
    */
   protobuf_c_boolean has_partial;
   protobuf_c_boolean partial;
@@ -910,25 +951,26 @@
 
 
 /*
- * What one box has lately sent to endpoints and heard of their load. Endpoints
- * are named by a hash of their id.
+ * Updates of one box on the endpoints that the boxes of its zone share:
+ * requests that it has sent there, and loads that they have reported. Endpoints
+ * are identified by a hash of their id.
  */
 struct  Wp__BoxNews
 {
   ProtobufCMessage base;
   /*
-   * hash of the id of the box that tells it
+   * Hash of the id of the box whose updates these are.
    */
   uint64_t box;
   /*
-   * Requests, and how long the endpoint will read their prompts.
+   * Requests sent, and their predicted prefill times.
    */
   size_t n_sent_to;
   uint64_t *sent_to;
   size_t n_sent_ms;
   uint32_t *sent_ms;
   /*
-   * Load that endpoints told with their answers.
+   * Loads that endpoints reported with their answers.
    */
   size_t n_load_of;
   uint64_t *load_of;
@@ -937,14 +979,15 @@
   size_t n_load_waiting;
   uint32_t *load_waiting;
   /*
-   * Requests whose first byte has come, as they were told when sent.
+   * Requests whose first byte has arrived, with the same prefill times as in
+   * `sent_ms`.
    */
   size_t n_began_at;
   uint64_t *began_at;
   size_t n_began_ms;
   uint32_t *began_ms;
   /*
-   * What endpoints keep of prompts, as in MirrorDigest.
+   * Cached prompt prefixes, as in MirrorDigest.
    */
   size_t n_kept_at;
   uint64_t *kept_at;
@@ -953,8 +996,8 @@
   size_t n_kept_tokens;
   uint32_t *kept_tokens;
   /*
-   * Callers' requests a minute by service (hash of its name), where that is of
-   * use.
+   * Rate of callers' requests per minute by service (hash of its name), for
+   * services with an endpoint that sets a rate limit.
    */
   size_t n_asked_of;
   uint64_t *asked_of;
@@ -967,18 +1010,21 @@
 
 
 /*
- * From a box to the one that passes news on in its zone, and from that one by
- * way of others to all of the zone.
+ * Updates that a box sends to the box which relays them in its zone, and that
+ * are relayed from there, through other boxes, to all boxes of the zone.
  */
 struct  Wp__ZoneNews
 {
   ProtobufCMessage base;
   size_t n_boxes;
   Wp__BoxNews **boxes;
+  /*
+   * relayed
+   */
   protobuf_c_boolean has_passed_on;
   protobuf_c_boolean passed_on;
   /*
-   * what is passed on is to go to the sender as well
+   * The sender requests that updates are relayed to it.
    */
   protobuf_c_boolean has_wants;
   protobuf_c_boolean wants;
@@ -989,8 +1035,8 @@
 
 
 /*
- * A request under which endpoints have ended; also a record of the store, there
- * without `busy_ms`.
+ * A suspect request: endpoints have crashed while they ran it. Also a record in
+ * the store, there without `busy_ms`.
  */
 struct  Wp__Suspect
 {
@@ -1000,7 +1046,8 @@
    */
   uint64_t request;
   /*
-   * Lives of endpoints, their service's version, whether they count no more.
+   * Crashes, in parallel arrays: hash of the endpoint's incarnation, hash of
+   * its service and version, and whether the crash does not count any more.
    */
   size_t n_lives;
   uint64_t *lives;
@@ -1009,25 +1056,26 @@
   size_t n_cleared;
   protobuf_c_boolean *cleared;
   /*
-   * sends since it is kept out
+   * times that it was sent while it was quarantined
    */
   protobuf_c_boolean has_tries;
   uint32_t tries;
   /*
-   * for so long a box may be running it
+   * a box may be running a copy for this long
    */
   protobuf_c_boolean has_busy_ms;
   uint32_t busy_ms;
   /*
-   * Which copy that is: the highest, of boxes that name the same one the one
-   * with the higher hash of its id, is the latest.
+   * The copy that may be running.  The one with the highest (busy_number,
+   * busy_box) is the latest; `busy_box` is a hash of the box's id.
    */
   protobuf_c_boolean has_busy_box;
   uint64_t busy_box;
   protobuf_c_boolean has_busy_number;
   uint32_t busy_number;
   /*
-   * It had run there for long: tells half as much.
+   * Parallel to `lives`: the request had run there for long, so the crash
+   * counts half.
    */
   size_t n_weak;
   protobuf_c_boolean *weak;
@@ -1049,23 +1097,24 @@
 
 
 /*
- * The requests a second that an endpoint takes from all boxes together, as some
- * box has heard from it. The highest (number, box) is the latest.
+ * The rate limit that an endpoint has set, in requests per second of all boxes
+ * together, as one box has received it.  The one with the highest (number, box)
+ * is the latest.
  */
 struct  Wp__EndpointLimit
 {
   ProtobufCMessage base;
   /*
-   * hash of its life
+   * hash of its incarnation
    */
   uint64_t endpoint;
   /*
-   * 0: it names none any more
+   * 0: it sets no limit any more
    */
   double per_s;
   uint32_t number;
   /*
-   * hash of the id of the one that heard it
+   * hash of the id of the box that received it
    */
   uint64_t box;
 };
@@ -1075,7 +1124,8 @@
 
 
 /*
- * Callers' requests a minute for a service in a zone, the same way.
+ * Rate of callers' requests per minute for a service in a zone.  `number` and
+ * `box` order the updates in the same way.
  */
 struct  Wp__ZoneDemand
 {
@@ -1095,7 +1145,7 @@
 
 
 /*
- * A rest that an endpoint has asked of a box.
+ * A back-off that an endpoint has requested of a box: the time that is left.
  */
 struct  Wp__EndpointRest
 {
@@ -1116,7 +1166,7 @@
   size_t n_demands;
   Wp__ZoneDemand **demands;
   /*
-   * lives of endpoints, by hash
+   * hashes of draining endpoints' incarnations
    */
   size_t n_leaving;
   uint64_t *leaving;
@@ -1210,7 +1260,7 @@
 
 
 /*
- * What a session token carries.
+ * The content of a session token.
  */
 struct  Wp__SessionClaim
 {
--- a/io/wp_sync_int.h
+++ b/io/wp_sync_int.h
@@ -146,7 +146,7 @@
                           const WPCanarySums *v, Wp__MoveSums *out);
 WPCanarySums wp_shift_sums_decode(const Wp__MoveSums *m);
 
-/* wp_record.c: writes to the store what is due: steps of shifts and the
+/* wp_store_writer.c: writes to the store what is due: steps of shifts and the
    entries of boxes. */
 void wp_record_tick(WPSync *s, WPTime now);
 
--- a/src/wp_fleet.h
+++ b/src/wp_fleet.h
@@ -321,7 +321,7 @@
     WPLimitField field;
     /* The answer carries the endpoint's seal: only then the absence of the
        field counts. */
-    bool genuine;
+    bool has_seal;
     int64_t sent_us; /* when its request was sent */
 } WPLimitReport;
 
--- a/src/wp_fleet_limit.c
+++ b/src/wp_fleet_limit.c
@@ -115,7 +115,7 @@
     l->answered_us = now.mono_us;
     bool invalid = report->field.status == WP_LIMIT_FIELD_INVALID &&
                    claim_bad_field_report(l, now);
-    bool counts = named || report->genuine;
+    bool counts = named || report->has_seal;
     if (counts && l->per_s != per_s &&
         !may_be_outdated(l, per_s, report->sent_us)) {
         set_own_limit(f, l, now, per_s);
--- a/src/wp_flow_int.h
+++ b/src/wp_flow_int.h
@@ -87,7 +87,7 @@
    which it is no part. */
 uint32_t wp_flow_session_bound_ms(const WPFlow *f, WPTime now);
 
-/* wp_flow_on_head.c: whether the answer is a refusal that asks for a back-off.
+/* wp_flow_head.c: whether the answer is a refusal that asks for a back-off.
  */
 bool wp_flow_requests_backoff(const WPDirectAnswer *a);
 
--- a/standins/engine.c
+++ b/standins/engine.c
@@ -1,8 +1,9 @@
-/* A stand-in for a model engine with an OpenAI-compatible API. It batches
- * continuously: every step each running request gets one token, and a fuller
- * batch steps more slowly. It has few slots, a cache of prompt prefixes,
- * priorities and cancel by closing. An answer carries a digest of its prompt
- * and whether it is good; /ledger lists every run. */
+/* Stand-in for an inference engine with an OpenAI-compatible API. It does
+ * continuous batching: at every step each running request gets one token, and
+ * steps take longer the fuller the batch is. It has a limited number of slots,
+ * an LRU cache of prompt prefixes and request priorities; closing the
+ * connection cancels a request. An answer contains a digest of its prompt and
+ * whether it is good; /ledger lists every run. */
 #include "stand.h"
 
 #include <event2/buffer.h>
@@ -11,17 +12,17 @@
 #define DEFAULT_TOKENS 20
 #define PREFILL_TOKENS_PER_STEP 200
 #define BYTES_PER_TOKEN 4
-#define BATCH_SLOWDOWN 0.5 /* of a step, when the batch is full */
+#define BATCH_SLOWDOWN 0.5 /* share by which a full batch slows a step */
 
 typedef struct Run {
     WPList link;
     struct Engine *engine;
-    struct evhttp_request *request; /* NULL once the peer has gone */
+    struct evhttp_request *request; /* NULL after the client has disconnected */
     char *id, *workspace, *kind, *version, *digest;
-    json_t *row; /* in the ledger */
+    json_t *row; /* the run's row in the ledger */
     bool stream, good, want_usage, started;
-    unsigned priority, prompt_tokens, want_tokens, tokens;
-    unsigned prefill; /* steps until the first token */
+    unsigned priority, prompt_tokens, max_tokens, tokens;
+    unsigned prefill; /* prefill steps left before the first token */
     GString *text;
 } Run;
 
@@ -33,11 +34,11 @@
     unsigned n_running, n_waiting;
     json_t *ledger;
     GRand *rand;
-    GQueue prefixes; /* digests of cached prefixes, newest first */
+    GQueue prefixes; /* digests of cached prefixes, most recently used first */
     uint64_t hits, misses;
     json_t *quality; /* version -> probability of a good answer */
     double slow, cut_after;
-    double pad; /* bytes added to each token */
+    double pad; /* padding bytes added to each token */
     bool silent, refuse, stepping;
 } Engine;
 
@@ -47,8 +48,8 @@
     return json_is_number(q) ? json_number_value(q) : 1;
 }
 
-/* Whether the prefix is in the cache; it is afterwards. */
-static bool cached(Engine *e, const char *prefix)
+/* Whether the prefix is in the cache; adds it if missing. */
+static bool use_prefix(Engine *e, const char *prefix)
 {
     GList *l = g_queue_find_custom(&e->prefixes, prefix, (GCompareFunc)strcmp);
     if (l) {
@@ -64,11 +65,11 @@
     return false;
 }
 
-static void end_run(Run *r, bool whole)
+static void end_run(Run *r, bool complete)
 {
     Engine *e = r->engine;
     json_object_set_new(r->row, "tokens", json_integer(r->tokens));
-    json_object_set_new(r->row, "whole", json_boolean(whole));
+    json_object_set_new(r->row, "whole", json_boolean(complete));
     if (r->started)
         e->n_running--;
     else
@@ -87,7 +88,7 @@
     g_free(r);
 }
 
-static void on_peer_gone(struct evhttp_connection *con, void *arg)
+static void on_client_gone(struct evhttp_connection *con, void *arg)
 {
     Run *r = arg;
     (void)con;
@@ -173,7 +174,7 @@
 {
     struct evhttp_request *req = r->request;
     end_run(r, false);
-    stand_cut(req);
+    stand_close_connection(req);
 }
 
 static void step_run(Run *r)
@@ -188,7 +189,7 @@
         cut_run(r);
         return;
     }
-    if (r->tokens < r->want_tokens)
+    if (r->tokens < r->max_tokens)
         return;
     if (r->stream)
         finish_stream(r);
@@ -197,6 +198,7 @@
     end_run(r, true);
 }
 
+/* The waiting run with the lowest priority value, the earliest of these. */
 static Run *best_waiting(Engine *e)
 {
     Run *best = NULL;
@@ -251,7 +253,9 @@
     return v ? v : "";
 }
 
-/* The first message is the prefix; the digest is of the last one. */
+/* Sets the run's digest (of the last message), its prompt length and its
+   prefill steps. The first message is the prefix that the cache is looked up
+   for. */
 static void read_prompt(Run *r, const json_t *body)
 {
     const json_t *messages = json_object_get(body, "messages");
@@ -269,7 +273,7 @@
         G_CHECKSUM_SHA256, first ? first : "", -1);
     r->digest = g_strndup(sum, 16);
     r->prompt_tokens = (unsigned)(bytes / BYTES_PER_TOKEN + 1);
-    r->prefill = cached(r->engine, prefix)
+    r->prefill = use_prefix(r->engine, prefix)
                      ? 0
                      : r->prompt_tokens / PREFILL_TOKENS_PER_STEP;
 }
@@ -285,7 +289,8 @@
         return;
     }
     Run *r = g_new0(Run, 1);
-    json_int_t want = json_integer_value(json_object_get(body, "max_tokens"));
+    json_int_t max_tokens =
+        json_integer_value(json_object_get(body, "max_tokens"));
     r->engine = e;
     r->request = req;
     r->id = g_strdup(header(req, "X-Request-Id"));
@@ -296,7 +301,7 @@
     r->stream = json_is_true(json_object_get(body, "stream"));
     r->want_usage = json_is_true(json_object_get(
         json_object_get(body, "stream_options"), "include_usage"));
-    r->want_tokens = want > 1 ? (unsigned)want : DEFAULT_TOKENS;
+    r->max_tokens = max_tokens > 1 ? (unsigned)max_tokens : DEFAULT_TOKENS;
     r->good = g_rand_double(e->rand) < quality_of(e, model);
     r->text = g_string_new(NULL);
     read_prompt(r, body);
@@ -310,7 +315,7 @@
     wp_list_append(&e->waiting, &r->link);
     e->n_waiting++;
     evhttp_connection_set_closecb(evhttp_request_get_connection(req),
-                                  on_peer_gone, r);
+                                  on_client_gone, r);
     schedule(e);
 }
 
--- a/standins/kv.c
+++ b/standins/kv.c
@@ -1,14 +1,15 @@
-/* A stand-in for the key-value service, in the shape of etcd's v3 gateway:
- * range, txn (compare on MOD), put and watch. Rates are counted and enforced;
- * outages, lost answers and late watches are set on /control. */
+/* Stand-in for the key-value store, with the API of etcd's v3 gateway: range,
+ * txn (compare on MOD only), put and watch. Requests are counted and rate-
+ * limited. Outages, lost responses and delayed watch events are set on
+ * /control. */
 #include "stand.h"
 
 #include <event2/buffer.h>
 #include <stdlib.h>
 
 typedef struct Item {
-    char *key; /* in base64, as all keys here; order is by decoded bytes */
-    char *value;
+    char *key;   /* in base64; items are in the order of decoded keys */
+    char *value; /* in base64 */
     uint64_t create, mod;
 } Item;
 
@@ -19,11 +20,12 @@
     struct Kv *kv;
 } Watch;
 
-typedef struct Late {
+/* A watch event that is sent after watch_lag_ms. */
+typedef struct DelayedEvent {
     struct Kv *kv;
     char *key, *line;
     struct event *timer;
-} Late;
+} DelayedEvent;
 
 typedef struct Kv {
     struct event_base *base;
@@ -36,7 +38,7 @@
     bool down, silent;
     double lose_answers, slow_ms, watch_lag_ms;
     uint64_t writes, reads, refused, peak_waiting;
-    json_t *held; /* requests never answered: none kept, only counted */
+    json_t *held; /* unused */
 } Kv;
 
 static gint compare(gconstpointer a, gconstpointer b, gpointer arg)
@@ -53,6 +55,7 @@
     g_free(i);
 }
 
+/* The string, decoded from base64. */
 static char *decoded(const json_t *j)
 {
     gsize n;
@@ -97,10 +100,12 @@
     return FALSE;
 }
 
-static json_t *range(const Kv *kv, const json_t *ask)
+/* Items of the requested key, or of the keys from `key` to before `range_end`.
+ */
+static json_t *range(const Kv *kv, const json_t *request)
 {
-    g_autofree char *from = decoded(json_object_get(ask, "key"));
-    const json_t *end_json = json_object_get(ask, "range_end");
+    g_autofree char *from = decoded(json_object_get(request, "key"));
+    const json_t *end_json = json_object_get(request, "range_end");
     g_autofree char *end = end_json ? decoded(end_json) : NULL;
     json_t *out = json_array();
     if (end) {
@@ -127,9 +132,9 @@
     }
 }
 
-static void on_late(evutil_socket_t fd, short what, void *arg)
+static void on_event_timer(evutil_socket_t fd, short what, void *arg)
 {
-    Late *l = arg;
+    DelayedEvent *l = arg;
     (void)fd;
     (void)what;
     send_line(l->kv, l->key, l->line);
@@ -139,7 +144,7 @@
     g_free(l);
 }
 
-static void tell_watchers(Kv *kv, const char *key, const Item *i)
+static void notify_watchers(Kv *kv, const char *key, const Item *i)
 {
     json_t *j = json_pack("{s:{s:o,s:[{s:o}]}}", "result", "header",
                           header_json(kv), "events", "kv", item_json(i));
@@ -150,30 +155,31 @@
         free(line);
         return;
     }
-    Late *l = g_new0(Late, 1);
+    DelayedEvent *l = g_new0(DelayedEvent, 1);
     struct timeval after = { (time_t)kv->watch_lag_ms / 1000,
                              (long)kv->watch_lag_ms % 1000 * 1000 };
     l->kv = kv;
     l->key = g_strdup(key);
     l->line = line;
-    l->timer = evtimer_new(kv->base, on_late, l);
+    l->timer = evtimer_new(kv->base, on_event_timer, l);
     event_add(l->timer, &after);
 }
 
-static void put(Kv *kv, const json_t *ask)
+static void put(Kv *kv, const json_t *request)
 {
-    char *key = decoded(json_object_get(ask, "key"));
+    char *key = decoded(json_object_get(request, "key"));
     const Item *old = g_tree_lookup(kv->items, key);
     Item *i = g_new0(Item, 1);
-    i->key = g_strdup(json_string_value(json_object_get(ask, "key")));
-    i->value = g_strdup(json_string_value(json_object_get(ask, "value")));
+    i->key = g_strdup(json_string_value(json_object_get(request, "key")));
+    i->value = g_strdup(json_string_value(json_object_get(request, "value")));
     i->create = old ? old->create : kv->revision;
     i->mod = kv->revision;
     g_tree_replace(kv->items, g_strdup(key), i);
-    tell_watchers(kv, key, i);
+    notify_watchers(kv, key, i);
     g_free(key);
 }
 
+/* Whether the key's mod revision is the one that the comparison expects. */
 static bool holds(const Kv *kv, const json_t *cmp)
 {
     g_autofree char *key = decoded(json_object_get(cmp, "key"));
@@ -204,22 +210,24 @@
     return out;
 }
 
-static json_t *txn(Kv *kv, const json_t *ask)
+static json_t *txn(Kv *kv, const json_t *request)
 {
     json_t *cmp;
     size_t i;
     bool ok = true;
-    json_array_foreach (json_object_get(ask, "compare"), i, cmp)
+    json_array_foreach (json_object_get(request, "compare"), i, cmp)
         ok &= holds(kv, cmp);
     if (ok)
         kv->revision++;
     json_t *responses =
-        run_ops(kv, json_object_get(ask, ok ? "success" : "failure"));
+        run_ops(kv, json_object_get(request, ok ? "success" : "failure"));
     return json_pack("{s:o,s:b,s:o}", "header", header_json(kv), "succeeded",
                      ok, "responses", responses);
 }
 
-static bool take(Kv *kv, double *tokens)
+/* Takes a token from one of the two token buckets, which it refills first;
+   false if there is none. */
+static bool take_token(Kv *kv, double *tokens)
 {
     int64_t now = g_get_monotonic_time();
     double s = (double)(now - kv->filled_us) / WP_US_PER_S;
@@ -236,48 +244,51 @@
     return true;
 }
 
-typedef struct Slow {
+/* A response that is sent after slow_ms. */
+typedef struct DelayedReply {
     struct evhttp_request *r;
-    json_t *answer;
+    json_t *reply;
     struct event *timer;
-} Slow;
+} DelayedReply;
 
-static void on_slow(evutil_socket_t fd, short what, void *arg)
+static void on_reply_timer(evutil_socket_t fd, short what, void *arg)
 {
-    Slow *s = arg;
+    DelayedReply *s = arg;
     (void)fd;
     (void)what;
-    wp_http_reply_json(s->r, 200, s->answer);
+    wp_http_reply_json(s->r, 200, s->reply);
     event_free(s->timer);
     g_free(s);
 }
 
-static void answer(Kv *kv, struct evhttp_request *r, json_t *j)
+static void reply(Kv *kv, struct evhttp_request *r, json_t *j)
 {
     if (kv->slow_ms <= 0) {
         wp_http_reply_json(r, 200, j);
         return;
     }
-    Slow *s = g_new0(Slow, 1);
+    DelayedReply *s = g_new0(DelayedReply, 1);
     struct timeval after = { (time_t)kv->slow_ms / 1000,
                              (long)kv->slow_ms % 1000 * 1000 };
     s->r = r;
-    s->answer = j;
-    s->timer = evtimer_new(kv->base, on_slow, s);
+    s->reply = j;
+    s->timer = evtimer_new(kv->base, on_reply_timer, s);
     event_add(s->timer, &after);
 }
 
+/* Whether a fault keeps the request from being served; sends 503 then, or
+   nothing at all. */
 static bool unavailable(Kv *kv, struct evhttp_request *r)
 {
     if (kv->silent)
-        return true; /* never answered */
+        return true; /* no response at all */
     if (!kv->down)
         return false;
     wp_http_reply_json(r, 503, json_pack("{s:s}", "error", "unavailable"));
     return true;
 }
 
-static void too_many(struct evhttp_request *r)
+static void reply_rate_limited(struct evhttp_request *r)
 {
     wp_http_reply_json(r, 429, json_pack("{s:s}", "error", "rate exceeded"));
 }
@@ -288,15 +299,14 @@
     if (unavailable(kv, r))
         return;
     kv->reads++;
-    if (!take(kv, &kv->read_tokens)) {
-        too_many(r);
+    if (!take_token(kv, &kv->read_tokens)) {
+        reply_rate_limited(r);
         return;
     }
-    json_t *ask = wp_http_body_json(r);
-    json_t *kvs = range(kv, ask);
-    answer(kv, r,
-           json_pack("{s:o,s:o}", "header", header_json(kv), "kvs", kvs));
-    json_decref(ask);
+    json_t *request = wp_http_body_json(r);
+    json_t *kvs = range(kv, request);
+    reply(kv, r, json_pack("{s:o,s:o}", "header", header_json(kv), "kvs", kvs));
+    json_decref(request);
 }
 
 static void on_txn(struct evhttp_request *r, void *arg)
@@ -305,20 +315,20 @@
     if (unavailable(kv, r))
         return;
     kv->writes++;
-    if (!take(kv, &kv->write_tokens)) {
-        too_many(r);
+    if (!take_token(kv, &kv->write_tokens)) {
+        reply_rate_limited(r);
         return;
     }
-    json_t *ask = wp_http_body_json(r);
-    json_t *j = txn(kv, ask);
-    json_decref(ask);
+    json_t *request = wp_http_body_json(r);
+    json_t *j = txn(kv, request);
+    json_decref(request);
     if (kv->lose_answers >= 1) {
         kv->lose_answers--;
         json_decref(j);
-        stand_cut(r);
+        stand_close_connection(r);
         return;
     }
-    answer(kv, r, j);
+    reply(kv, r, j);
 }
 
 static void on_watch_gone(struct evhttp_connection *con, void *arg)
@@ -336,8 +346,8 @@
     if (unavailable(kv, r))
         return;
     kv->reads++;
-    json_t *ask = wp_http_body_json(r);
-    const json_t *create = json_object_get(ask, "create_request");
+    json_t *request = wp_http_body_json(r);
+    const json_t *create = json_object_get(request, "create_request");
     const char *from_text =
         json_string_value(json_object_get(create, "start_revision"));
     uint64_t from = from_text ? g_ascii_strtoull(from_text, NULL, 10) : 0;
@@ -345,20 +355,21 @@
     w->kv = kv;
     w->key = decoded(json_object_get(create, "key"));
     w->request = r;
-    json_decref(ask);
+    json_decref(request);
     wp_list_append(&kv->watches, &w->link);
     evhttp_connection_set_closecb(evhttp_request_get_connection(r),
                                   on_watch_gone, w);
     evhttp_send_reply_start(r, 200, NULL);
     const Item *i = g_tree_lookup(kv->items, w->key);
     if (i && from && i->mod >= from)
-        tell_watchers(kv, w->key, i);
+        notify_watchers(kv, w->key, i);
 }
 
 static void cut_watches(Kv *kv)
 {
     while (!wp_list_empty(&kv->watches))
-        stand_cut(wp_list_item(kv->watches.next, Watch, link)->request);
+        stand_close_connection(
+            wp_list_item(kv->watches.next, Watch, link)->request);
 }
 
 static void on_control(struct evhttp_request *r, void *arg)
--- a/standins/platform.c
+++ b/standins/platform.c
@@ -1,5 +1,6 @@
-/* Stand-ins for the list of boxes (which lags), for the service that rates
- * answers (late, and only some) and for a plain service. */
+/* Stand-ins for the list of boxes (which shows changes late), for the service
+ * that rates answers (late, and only some of them) and for a plain service,
+ * one without a model. */
 #include "stand.h"
 
 #include <event2/buffer.h>
@@ -7,13 +8,13 @@
 /* --- list of boxes --- */
 
 typedef struct Boxes {
-    json_t *boxes; /* id -> {id, addr, port, state, at_us} */
-    json_t *shown; /* what callers see, as of lag ago */
-    json_t *log;   /* changes not yet shown: {at_us, id, box or null} */
+    json_t *boxes;   /* id -> {id, addr, port, state, at_us} */
+    json_t *visible; /* what callers see: the list as it was lag_ms ago */
+    json_t *log;     /* changes not yet visible: {at, id, box or null} */
     double lag_ms;
 } Boxes;
 
-static void show_due(Boxes *b)
+static void publish_due_boxes(Boxes *b)
 {
     int64_t due = g_get_monotonic_time() - (int64_t)(b->lag_ms * WP_US_PER_MS);
     while (json_array_size(b->log)) {
@@ -23,38 +24,38 @@
         const char *id = json_string_value(json_object_get(first, "id"));
         json_t *box = json_object_get(first, "box");
         if (json_is_null(box))
-            json_object_del(b->shown, id);
+            json_object_del(b->visible, id);
         else
-            json_object_set(b->shown, id, box);
+            json_object_set(b->visible, id, box);
         json_array_remove(b->log, 0);
     }
 }
 
-static void note_box(Boxes *b, const json_t *ask)
+static void record_change(Boxes *b, const json_t *body)
 {
-    const char *id = json_string_value(json_object_get(ask, "id"));
-    const char *state = json_string_value(json_object_get(ask, "state"));
+    const char *id = json_string_value(json_object_get(body, "id"));
+    const char *state = json_string_value(json_object_get(body, "state"));
     bool gone = state && !strcmp(state, "gone");
     if (!id)
         return;
     json_array_append_new(
         b->log,
         json_pack("{s:I,s:s,s:o}", "at", (json_int_t)g_get_monotonic_time(),
-                  "id", id, "box", gone ? json_null() : json_deep_copy(ask)));
+                  "id", id, "box", gone ? json_null() : json_deep_copy(body)));
 }
 
 static void on_boxes(struct evhttp_request *r, void *arg)
 {
     Boxes *b = arg;
     if (evhttp_request_get_command(r) == EVHTTP_REQ_POST) {
-        json_t *ask = wp_http_body_json(r);
-        note_box(b, ask);
-        json_decref(ask);
+        json_t *body = wp_http_body_json(r);
+        record_change(b, body);
+        json_decref(body);
     }
-    show_due(b);
+    publish_due_boxes(b);
     json_t *list = json_array(), *box;
     const char *id;
-    json_object_foreach (b->shown, id, box)
+    json_object_foreach (b->visible, id, box)
         json_array_append(list, box);
     wp_http_reply_json(r, 200, json_pack("{s:o}", "boxes", list));
 }
@@ -74,7 +75,7 @@
     Boxes *b = g_new0(Boxes, 1);
     (void)base;
     b->boxes = json_object();
-    b->shown = json_object();
+    b->visible = json_object();
     b->log = json_array();
     b->lag_ms = s->lag_ms;
     evhttp_set_cb(http, "/v1/boxes", on_boxes, b);
@@ -90,34 +91,35 @@
 } Rating;
 
 typedef struct Ratings {
-    GQueue waiting; /* of Rating, not yet shown */
+    GQueue waiting; /* of Rating, not yet in `sums` */
     json_t *sums;   /* "kind\tversion" -> {kind, version, count, sum} */
     double lag_ms, wrong_checks;
     uint64_t seq, checks;
     GRand *rand;
 } Ratings;
 
-static void fold_due(Ratings *s)
+static void publish_due_ratings(Ratings *s)
 {
     int64_t due = g_get_monotonic_time() - (int64_t)(s->lag_ms * WP_US_PER_MS);
-    Rating *one;
-    while ((one = g_queue_peek_head(&s->waiting)) && one->at_us <= due) {
-        g_autofree char *key = g_strjoin("\t", one->kind, one->version, NULL);
+    Rating *rating;
+    while ((rating = g_queue_peek_head(&s->waiting)) && rating->at_us <= due) {
+        g_autofree char *key =
+            g_strjoin("\t", rating->kind, rating->version, NULL);
         json_t *sum = json_object_get(s->sums, key);
         if (!sum) {
-            sum = json_pack("{s:s,s:s,s:i,s:f}", "kind", one->kind, "version",
-                            one->version, "count", 0, "sum", 0.0);
+            sum = json_pack("{s:s,s:s,s:i,s:f}", "kind", rating->kind,
+                            "version", rating->version, "count", 0, "sum", 0.0);
             json_object_set_new(s->sums, key, sum);
         }
         json_t *count = json_object_get(sum, "count");
         json_integer_set(count, json_integer_value(count) + 1);
         json_t *total = json_object_get(sum, "sum");
-        json_real_set(total, json_real_value(total) + one->score);
+        json_real_set(total, json_real_value(total) + rating->score);
         s->seq++;
         g_queue_pop_head(&s->waiting);
-        g_free(one->kind);
-        g_free(one->version);
-        g_free(one);
+        g_free(rating->kind);
+        g_free(rating->version);
+        g_free(rating);
     }
 }
 
@@ -126,12 +128,12 @@
 {
     if (!kind || !version)
         return;
-    Rating *one = g_new0(Rating, 1);
-    one->at_us = g_get_monotonic_time();
-    one->kind = g_strdup(kind);
-    one->version = g_strdup(version);
-    one->score = score;
-    g_queue_push_tail(&s->waiting, one);
+    Rating *rating = g_new0(Rating, 1);
+    rating->at_us = g_get_monotonic_time();
+    rating->kind = g_strdup(kind);
+    rating->version = g_strdup(version);
+    rating->score = score;
+    g_queue_push_tail(&s->waiting, rating);
 }
 
 static void on_rate(struct evhttp_request *r, void *arg)
@@ -144,7 +146,7 @@
     wp_http_reply_json(r, 200, json_object());
 }
 
-/* An answer handed in to be rated: judged by its own words. */
+/* Rates a submitted answer: good if its text contains "good ". */
 static void on_submit(struct evhttp_request *r, void *arg)
 {
     Ratings *s = arg;
@@ -162,7 +164,7 @@
     Ratings *s = arg;
     json_t *list = json_array(), *sum;
     const char *key;
-    fold_due(s);
+    publish_due_ratings(s);
     json_object_foreach (s->sums, key, sum)
         json_array_append(list, sum);
     wp_http_reply_json(
@@ -259,7 +261,7 @@
                   "at_ms", (json_int_t)(g_get_real_time() / WP_US_PER_MS),
                   "whole", true));
     if (s->cut)
-        stand_cut(r);
+        stand_close_connection(r);
     else if (!s->silent)
         wp_http_reply_json(r, 200,
                            json_pack("{s:b,s:o}", "ok", true, "echo",
--- a/standins/pstore.c
+++ b/standins/pstore.c
@@ -1,39 +1,40 @@
-/* Stands in for the users' platform's store: items with revisions, ranges,
- * watches that wait, transactions. Faults are set on /control:
- *   down: "" (none), "silent", "busy", "reset"; lose_answers: share of
- *   transactions done and not answered; deaf: watches hear nothing; compact:
- *   the history is dropped and watches are cut.
- * The operator's and the endpoints' writes come there too, as put and remove,
- * and with get the operator reads an item's value.
- */
+/* Stand-in for the store of the users' platform: items with revisions, ranges,
+ * long-polling watches and transactions. Faults are set on /control:
+ *   down: "" (none), "silent" (no response), "busy" (503) or "reset" (the
+ *     connection is closed);
+ *   lose_answers: share of transactions that are committed without a response;
+ *   deaf: watches get no events;
+ *   compact: drops the history and closes the connections of watches.
+ * Writes of the operator and of endpoints come on /control too, as put and
+ * remove; get returns an item's value. */
 #include "pf_names.h"
 #include "stand.h"
 
 #include <stdio.h>
 #include <stdlib.h>
 
-enum { HISTORY = 2000, PAGE = 500, WAIT_MOST_MS = 30000 };
+enum { HISTORY_MAX = 2000, PAGE_MAX = 500, WAIT_MAX_MS = 30000 };
 
 typedef struct Item {
-    char *key, *value; /* base64; NULL: removed */
+    char *key, *value; /* value in base64; NULL: removed */
     uint64_t revision, created;
 } Item;
 
-typedef struct Waiting {
+typedef struct Watch {
     WPList node;
     struct Store *store;
     struct evhttp_request *request;
     struct event *timer;
     char *prefix;
     uint64_t after;
-} Waiting;
+} Watch;
 
 typedef struct Store {
     struct event_base *base;
     GTree *items;       /* key -> Item */
-    GPtrArray *history; /* Item, as written */
+    GPtrArray *history; /* of Item, in the order of writes */
     uint64_t revision, oldest;
-    WPList waiting;
+    WPList watches;
     GRand *rand;
     char down[16];
     bool deaf;
@@ -68,17 +69,18 @@
     return c;
 }
 
-/* Applies one write under the store's present revision. */
+/* Applies one write with the store's current revision. `value` NULL removes
+   the key. */
 static void apply(Store *s, const char *key, const char *value)
 {
-    const Item *had = g_tree_lookup(s->items, key);
+    const Item *old = g_tree_lookup(s->items, key);
     Item *i = g_new0(Item, 1);
     i->key = g_strdup(key);
     i->value = g_strdup(value);
     i->revision = s->revision;
-    i->created = had && had->value ? had->created : s->revision;
+    i->created = old && old->value ? old->created : s->revision;
     g_ptr_array_add(s->history, copy_of(i));
-    if (s->history->len > HISTORY) {
+    if (s->history->len > HISTORY_MAX) {
         s->oldest = ((Item *)s->history->pdata[0])->revision;
         g_ptr_array_remove_index(s->history, 0);
     }
@@ -90,7 +92,7 @@
     item_free(i);
 }
 
-static void free_waiting(Waiting *w)
+static void free_watch(Watch *w)
 {
     struct evhttp_connection *con = evhttp_request_get_connection(w->request);
     if (con)
@@ -101,6 +103,7 @@
     g_free(w);
 }
 
+/* Writes to keys with this prefix after this revision, oldest first. */
 static json_t *events_after(const Store *s, const char *prefix, uint64_t after)
 {
     json_t *list = json_array();
@@ -112,22 +115,23 @@
     return list;
 }
 
-static void answer_watch(Waiting *w, json_t *events)
+static void answer_watch(Watch *w, json_t *events)
 {
     struct evhttp_request *r = w->request;
     uint64_t revision = w->store->revision;
-    free_waiting(w);
+    free_watch(w);
     wp_http_reply_json(r, 200,
                        json_pack("{s:o,s:I}", "events", events, "storeRevision",
                                  (json_int_t)revision));
 }
 
-static void wake(Store *s)
+/* Answers the watches that have events. */
+static void notify_watches(Store *s)
 {
     if (s->deaf)
         return;
-    wp_list_each_safe (it, tmp, &s->waiting) {
-        Waiting *w = wp_list_item(it, Waiting, node);
+    wp_list_each_safe (it, tmp, &s->watches) {
+        Watch *w = wp_list_item(it, Watch, node);
         json_t *events = events_after(s, w->prefix, w->after);
         if (json_array_size(events))
             answer_watch(w, events);
@@ -138,16 +142,16 @@
 
 static void on_watch_timer(evutil_socket_t fd, short what, void *arg)
 {
-    Waiting *w = arg;
+    Watch *w = arg;
     (void)fd;
     (void)what;
     answer_watch(w, events_after(w->store, w->prefix, w->after));
 }
 
-static void on_watcher_gone(struct evhttp_connection *con, void *arg)
+static void on_client_gone(struct evhttp_connection *con, void *arg)
 {
     (void)con;
-    free_waiting(arg);
+    free_watch(arg);
 }
 
 static uint64_t number(struct evhttp_request *r, const char *name)
@@ -159,14 +163,14 @@
 static void watch(Store *s, struct evhttp_request *r)
 {
     uint64_t after = number(r, "afterRev");
-    uint64_t ms = MIN(number(r, "waitMs"), WAIT_MOST_MS);
+    uint64_t ms = MIN(number(r, "waitMs"), WAIT_MAX_MS);
     struct timeval limit = { (time_t)(ms / WP_MS_PER_S),
                              (suseconds_t)(ms % WP_MS_PER_S * WP_US_PER_MS) };
     if (after < s->oldest) {
         wp_http_reply_json(r, 410, json_object());
         return;
     }
-    Waiting *w = g_new0(Waiting, 1);
+    Watch *w = g_new0(Watch, 1);
     w->store = s;
     w->request = r;
     w->prefix = wp_http_query_param(r, "prefix");
@@ -174,25 +178,25 @@
     w->after = after;
     w->timer = evtimer_new(s->base, on_watch_timer, w);
     event_add(w->timer, &limit);
-    wp_list_append(&s->waiting, &w->node);
+    wp_list_append(&s->watches, &w->node);
     evhttp_connection_set_closecb(evhttp_request_get_connection(r),
-                                  on_watcher_gone, w);
-    wake(s);
+                                  on_client_gone, w);
+    notify_watches(s);
 }
 
-typedef struct Pick {
+typedef struct RangeQuery {
     const char *prefix, *after;
     json_t *items;
     bool truncated;
-} Pick;
+} RangeQuery;
 
-static gboolean pick(gpointer key, gpointer value, gpointer arg)
+static gboolean add_to_range(gpointer key, gpointer value, gpointer arg)
 {
-    Pick *p = arg;
+    RangeQuery *p = arg;
     if (!g_str_has_prefix(key, p->prefix) ||
         (p->after && strcmp(key, p->after) <= 0))
         return FALSE;
-    if (json_array_size(p->items) == PAGE) {
+    if (json_array_size(p->items) == PAGE_MAX) {
         p->truncated = true;
         return TRUE;
     }
@@ -204,8 +208,8 @@
 {
     g_autofree char *prefix = wp_http_query_param(r, "prefix");
     g_autofree char *after = wp_http_query_param(r, "afterRev");
-    Pick p = { prefix ? prefix : "", after, json_array(), false };
-    g_tree_foreach(s->items, pick, &p);
+    RangeQuery p = { prefix ? prefix : "", after, json_array(), false };
+    g_tree_foreach(s->items, add_to_range, &p);
     wp_http_reply_json(r, 200,
                        json_pack("{s:o,s:b,s:I}", "items", p.items, "truncated",
                                  p.truncated, "storeRevision",
@@ -218,12 +222,15 @@
     return t ? t : "";
 }
 
-static bool is_foreign(const char *key)
+/* Whether only the operator or an endpoint may write this key; boxes get 403.
+ */
+static bool is_read_only(const char *key)
 {
     return g_str_has_prefix(key, "op/") || g_str_has_prefix(key, "servers/");
 }
 
-/* The compared keys as they are, when one is not as expected; else NULL. */
+/* The compared items as they are now, if the revision of one is not the
+   expected one; else NULL. */
 static json_t *conflicts(const Store *s, const json_t *expected)
 {
     json_t *one, *present = json_array();
@@ -254,7 +261,7 @@
         return;
     }
     json_array_foreach (puts, k, one) {
-        if (!is_foreign(text_of(one, "privateKey")))
+        if (!is_read_only(text_of(one, "privateKey")))
             continue;
         wp_http_reply_json(r, 403, json_object());
         json_decref(j);
@@ -267,22 +274,22 @@
         apply(s, json_string_value(one), NULL);
     json_decref(j);
     if (g_rand_double(s->rand) < s->lose_answers)
-        stand_cut(r);
+        stand_close_connection(r);
     else
         wp_http_reply_json(
             r, 200, json_pack("{s:I}", "revision", (json_int_t)s->revision));
-    wake(s);
+    notify_watches(s);
 }
 
 static void compact(Store *s)
 {
     s->oldest = s->revision;
     g_ptr_array_set_size(s->history, 0);
-    wp_list_each_safe (it, tmp, &s->waiting) {
-        Waiting *w = wp_list_item(it, Waiting, node);
+    wp_list_each_safe (it, tmp, &s->watches) {
+        Watch *w = wp_list_item(it, Watch, node);
         struct evhttp_request *r = w->request;
-        free_waiting(w);
-        stand_cut(r);
+        free_watch(w);
+        stand_close_connection(r);
     }
 }
 
@@ -320,7 +327,7 @@
     if (i)
         json_object_set_new(out, "value", json_string(i->value));
     json_decref(j);
-    wake(s);
+    notify_watches(s);
     wp_http_reply_json(r, 200, out);
 }
 
@@ -331,14 +338,15 @@
     wp_http_reply_json(r, i ? 200 : 404, i ? item_json(i) : json_object());
 }
 
-/* Whether the store is down for this call; answers it then, or never does. */
+/* Whether the store is down for this request. Then this sends the response, or
+   for "silent" nothing. */
 static bool is_down(Store *s, struct evhttp_request *r)
 {
     if (!strcmp(s->down, "busy"))
         wp_http_reply_json(r, 503, json_object());
     else if (!strcmp(s->down, "reset"))
-        stand_cut(r);
-    return *s->down != '\0'; /* silent: the caller waits in vain */
+        stand_close_connection(r);
+    return *s->down != '\0'; /* silent: no response is ever sent */
 }
 
 static void on_request(struct evhttp_request *r, void *arg)
@@ -371,6 +379,6 @@
                                NULL, item_free);
     s->history = g_ptr_array_new_with_free_func(item_free);
     s->rand = g_rand_new_with_seed((guint32)set->seed);
-    wp_list_init(&s->waiting);
+    wp_list_init(&s->watches);
     evhttp_set_gencb(http, on_request, s);
 }
--- a/standins/replica.c
+++ b/standins/replica.c
@@ -1,23 +1,35 @@
-/* Stands in for one endpoint of the users' platform: answers with its mark,
- * streams events, tells its load. It lists itself in the store's stand-in.
+/* Stand-in for one endpoint of the users' platform: answers with its seal,
+ * streams events and reports its load. It registers itself in the store's
+ * stand-in.
+ *
  * Faults are set on /control:
- *   fail, refuse, cut, mute: shares of requests; delay_ms; confidence; events;
- *   draining: says that it leaves; limit: the field that names the requests a
- *   second that it takes, as it is (empty: none; a bar parts two of them). From
- *   the first one on each arrival is noted: "ARRIVED LIMIT MS ID"; leaving: the
- *   field by which answers say that it leaves, in the same way; rest: the field
- *   by which it asks for rest while it refuses all; rest_ms: refuses all for so
- *   long from now and asks for what is left of it; noting: notes each arrival,
- *   "CAME - MS ID REQUEST", and what it tells in its answer, "TOLD leaving MS
- *   ID REQUEST", "TOLD SECONDS MS ID REQUEST".
- * So is what makes a version bad: fail, on fail_path alone (a path's beginning)
- * and only while fail_running requests run; slow: a share that takes slow_ms
- * longer, and ten times as long from event to event.
+ *   fail, refuse, cut, mute: shares of requests that get status 500, are
+ *     refused (503), have their connection closed (a stream halfway), or get
+ *     no response;
+ *   delay_ms: time before a response; confidence; events: events per stream;
+ *   draining: sets the state "draining" in its registry entry;
+ *   limit: text of the response field that sets a rate limit in requests per
+ *     second, sent unchanged (empty: no field; "|" separates two fields). From
+ *     the first one on each arrival is logged: "ARRIVED LIMIT MS ID";
+ *   leaving: text of the response field that announces draining, likewise;
+ *   rest: text of the Retry-After field; all requests are refused while set;
+ *   rest_ms: refuses all requests for so long from now on, with the time left
+ *     in the Retry-After field;
+ *   noting: logs each arrival, "CAME - MS ID REQUEST", and what its response
+ *     announces: "TOLD leaving MS ID REQUEST", "TOLD SECONDS MS ID REQUEST".
+ * Faults of a bad version:
+ *   fail: limited to paths that begin with fail_path, and to times when at
+ *     least fail_running requests run;
+ *   slow: share of requests that take slow_ms longer, with ten times the time
+ *     between events.
+ *
  * A request whose body begins with "crash" ends the process that runs it, a
- * stream after its first event; "BAD BODY MS ID" and "CRASH BODY MS ID" are
- * noted when it comes and when that happens. /control also tells what ran: ids
- * with how often, and what broke a promise.
- */
+ * stream after its first event: "BAD BODY MS ID" is logged when the request
+ * arrives, "CRASH BODY MS ID" when the process ends.
+ *
+ * /control returns the ids of the requests that ran, each with how often it
+ * did, and counts violations: requests with a field that must not be passed on
+ * to endpoints ("wrong"), or without the workspace field ("keyless"). */
 #include "pf_names.h"
 #include "stand.h"
 #include "wp_clock.h"
@@ -31,7 +43,12 @@
 #include <stdlib.h>
 #include <unistd.h>
 
-enum { EVENT_MS = 10, LOOK_MS = 20, SLOW_TIMES = 10, CRASH_CODE = 3 };
+enum {
+    EVENT_MS = 10,
+    GONE_POLL_MS = 20,
+    SLOW_FACTOR = 10,
+    CRASH_EXIT_CODE = 3
+};
 
 #define CRASH "crash"
 
@@ -44,18 +61,18 @@
     bool draining;
     double fail, refuse, cut, mute, delay_ms, confidence, events;
     double fail_running, slow, slow_ms;
-    char *fail_path;      /* NULL: any */
-    char *limit;          /* NULL: none was ever set */
-    char *leaving, *rest; /* NULL or empty: not said */
-    int64_t rest_until_us;
+    char *fail_path; /* prefix of paths that `fail` applies to; NULL: all */
+    char *limit;     /* NULL: never set */
+    char *leaving, *retry_after; /* NULL or empty: no such field */
+    int64_t backoff_until_us;
     bool noting;
     unsigned running;
-    double ran, wrong, keyless;
-    int run_log;     /* -1: none */
+    double ran, with_caller_fields, without_workspace;
+    int run_log;     /* descriptor of the log file; -1: none */
     GHashTable *ids; /* request id -> how often it ran */
-    int64_t born_ms; /* time of day of its start */
+    int64_t born_ms; /* registered as its start time; monotonic clock */
     int64_t start_us;
-    GArray *cold; /* int64_t: arrivals while it was cold */
+    GArray *cold; /* int64_t: times of arrivals while it was cold */
 } Replica;
 
 typedef struct Run {
@@ -64,8 +81,9 @@
     struct event *timer;
     char *id;
     char *path;
-    char *crash; /* the body; NULL: it does no harm */
-    bool stream, begun, cut, mute, slow;
+    char *crash; /* body of a request that crashes the process; NULL: not such a
+                    request */
+    bool stream, started, cut, mute, slow;
     unsigned next, last;
 } Run;
 
@@ -76,8 +94,8 @@
     (void)body;
 }
 
-/* Writes this replica's entry into the store. */
-static void list_self(Replica *p)
+/* Writes this replica's registry entry to the store. */
+static void register_self(Replica *p)
 {
     g_autofree char *addr = g_strdup_printf(
         "%s:%u", p->set->listen,
@@ -95,16 +113,16 @@
     json_decref(j);
 }
 
-/* A field for each part of the text; NULL: none. */
-static void add_each(struct evkeyvalq *h, const char *name, const char *text)
+/* Adds a header field for each part of `text`, separated by "|"; NULL: none. */
+static void add_fields(struct evkeyvalq *h, const char *name, const char *text)
 {
     g_auto(GStrv) parts = g_strsplit(text ? text : "", "|", -1);
     for (char **part = parts; *part; part++)
         evhttp_add_header(h, name, *part);
 }
 
-static void add_head(struct evhttp_request *r, const Replica *p, const char *id,
-                     bool ran)
+static void add_response_headers(struct evhttp_request *r, const Replica *p,
+                                 const char *id, bool ran)
 {
     struct evkeyvalq *h = evhttp_request_get_output_headers(r);
     char load[64], confidence[16];
@@ -114,8 +132,8 @@
         evhttp_add_header(h, PF_H_REQUEST_ID, id);
     evhttp_add_header(h, PF_H_LOAD, load);
     evhttp_add_header(h, "Keep-Alive", "timeout=30");
-    add_each(h, PF_H_LIMIT, p->limit);
-    add_each(h, PF_H_LEAVING, p->leaving);
+    add_fields(h, PF_H_LIMIT, p->limit);
+    add_fields(h, PF_H_LEAVING, p->leaving);
     if (!ran) {
         evhttp_add_header(h, PF_H_NOT_RUN, "1");
         return;
@@ -137,7 +155,7 @@
     g_free(n);
 }
 
-static void on_gone(struct evhttp_connection *con, void *arg)
+static void on_client_gone(struct evhttp_connection *con, void *arg)
 {
     (void)con;
     end_run(arg);
@@ -147,7 +165,7 @@
 {
     struct evhttp_request *r = n->request;
     g_autofree char *body = g_strdup_printf("ran %s\n", n->id);
-    add_head(r, n->to, n->id, true);
+    add_response_headers(r, n->to, n->id, true);
     end_run(n);
     wp_http_reply_text(r, status, "text/plain", wp_str(body));
 }
@@ -160,13 +178,13 @@
         struct evhttp_request *r = n->request;
         evbuffer_free(b);
         end_run(n);
-        stand_cut(r);
+        stand_close_connection(r);
         return;
     }
     evhttp_send_reply_chunk(n->request, b);
     evbuffer_free(b);
     struct timeval at = { 0, EVENT_MS * WP_US_PER_MS *
-                                 (n->slow ? SLOW_TIMES : 1) };
+                                 (n->slow ? SLOW_FACTOR : 1) };
     if (n->next++ < n->last) {
         event_add(n->timer, &at);
         return;
@@ -176,8 +194,8 @@
     evhttp_send_reply_end(r);
 }
 
-/* evhttp's server does not tell of a caller that goes while its request is
-   worked on. */
+/* Whether the caller has disconnected. evhttp's server does not report this
+   while a request is being processed. */
 static bool is_gone(struct evhttp_request *r)
 {
     struct evhttp_connection *con = evhttp_request_get_connection(r);
@@ -186,20 +204,21 @@
     return recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
 }
 
-static void stay_mute(Run *n)
+static void stay_silent(Run *n)
 {
-    struct timeval at = { 0, LOOK_MS * WP_US_PER_MS };
+    struct timeval at = { 0, GONE_POLL_MS * WP_US_PER_MS };
     struct evhttp_request *r = n->request;
     if (!is_gone(r)) {
         event_add(n->timer, &at);
         return;
     }
     end_run(n);
-    stand_cut(r);
+    stand_close_connection(r);
 }
 
-/* Appends a line to what outlasts this process. */
-static void note(const Replica *p, const char *line)
+/* Appends a line to the run log, a file that survives a crash of this process.
+ */
+static void log_line(const Replica *p, const char *line)
 {
     if (p->run_log >= 0 && write(p->run_log, line, strlen(line)) < 0)
         fprintf(stderr, "run_log: cannot write\n");
@@ -210,24 +229,25 @@
     return (long)(g_get_monotonic_time() / WP_US_PER_MS);
 }
 
-/* A bad answer: "!bad VERSION MS". */
-static void note_bad(const Replica *p)
+/* Logs a bad answer: "!bad VERSION MS". */
+static void log_bad_answer(const Replica *p)
 {
     g_autofree char *line =
         g_strdup_printf("!bad %s %ld\n", p->set->version, now_ms());
-    note(p, line);
+    log_line(p, line);
 }
 
-/* Of a request that crashes what runs it: "WHAT BODY MS ID". */
-static void note_crash(const Replica *p, const char *what, const char *body)
+/* Logs the arrival (BAD) or crash (CRASH) of a request that crashes the
+   process: "WHAT BODY MS ID". */
+static void log_crash(const Replica *p, const char *what, const char *body)
 {
     g_autofree char *line =
         g_strdup_printf("%s %s %ld %s\n", what, body, now_ms(), p->id);
-    note(p, line);
+    log_line(p, line);
 }
 
-/* The body, if it is one that crashes; NULL: it is not. */
-static char *crash_of(struct evhttp_request *r)
+/* The request's body if it begins with "crash"; else NULL. */
+static char *crash_body(struct evhttp_request *r)
 {
     struct evbuffer *in = evhttp_request_get_input_buffer(r);
     size_t n = evbuffer_get_length(in);
@@ -237,7 +257,7 @@
     return g_strndup(body, n);
 }
 
-/* "crash-NAME-MS" runs for so long before it does. */
+/* Time in ms before the crash: MS of a body "crash-NAME-MS"; else 0. */
 static double crash_ms(const Run *n)
 {
     unsigned ms = 0;
@@ -246,25 +266,27 @@
     return ms;
 }
 
-/* An arrival: "ARRIVED LIMIT MS ID". */
-static void note_arrival(const Replica *p)
+/* Logs an arrival: "ARRIVED LIMIT MS ID". */
+static void log_arrival(const Replica *p)
 {
     g_autofree char *line = g_strdup_printf(
         "ARRIVED %s %ld %s\n", *p->limit ? p->limit : "0", now_ms(), p->id);
-    note(p, line);
+    log_line(p, line);
 }
 
-/* Of arrivals and of what is told: "WHAT HOW MS ID REQUEST". */
-static void note_notice(const Replica *p, const char *what, const char *how,
-                        const char *request)
+/* Logs an arrival or an announcement: "WHAT HOW MS ID REQUEST"; only with
+   `noting`. */
+static void log_notice(const Replica *p, const char *what, const char *how,
+                       const char *request)
 {
     if (!p->noting)
         return;
     g_autofree char *line = g_strdup_printf("%s %s %ld %s %s\n", what, how,
                                             now_ms(), p->id, request);
-    note(p, line);
+    log_line(p, line);
 }
 
+/* Whether the fault `fail` applies to this run. */
 static bool fails(const Run *n)
 {
     const Replica *p = n->to;
@@ -280,27 +302,27 @@
     (void)fd;
     (void)what;
     if (n->mute) {
-        stay_mute(n);
+        stay_silent(n);
         return;
     }
-    if (n->crash && (!n->stream || n->begun)) {
-        note_crash(p, "CRASH", n->crash);
-        _exit(CRASH_CODE);
+    if (n->crash && (!n->stream || n->started)) {
+        log_crash(p, "CRASH", n->crash);
+        _exit(CRASH_EXIT_CODE);
     }
-    if (!n->begun && fails(n)) {
-        note_bad(p);
+    if (!n->started && fails(n)) {
+        log_bad_answer(p);
         answer_text(n, 500);
         return;
     }
-    if (!n->begun && n->slow)
-        note_bad(p);
+    if (!n->started && n->slow)
+        log_bad_answer(p);
     if (!n->stream) {
         answer_text(n, 200);
         return;
     }
-    if (!n->begun) {
-        n->begun = true;
-        add_head(n->request, p, n->id, true);
+    if (!n->started) {
+        n->started = true;
+        add_response_headers(n->request, p, n->id, true);
         evhttp_add_header(evhttp_request_get_output_headers(n->request),
                           "Content-Type", "text/event-stream");
         evhttp_send_reply_start(n->request, 200, NULL);
@@ -308,40 +330,45 @@
     send_event(n);
 }
 
-static bool rests(const Replica *p)
+static bool is_backing_off(const Replica *p)
 {
-    return (p->rest && *p->rest) || g_get_monotonic_time() < p->rest_until_us;
+    return (p->retry_after && *p->retry_after) ||
+           g_get_monotonic_time() < p->backoff_until_us;
 }
 
-/* Refuses for want of rest. */
-static void ask_for_rest(const Replica *p, struct evhttp_request *r,
-                         const char *id)
+/* Refuses a request because of `rest` or `rest_ms`, with a Retry-After field.
+ */
+static void refuse_with_retry_after(const Replica *p, struct evhttp_request *r,
+                                    const char *id)
 {
-    int64_t left_us = p->rest_until_us - g_get_monotonic_time();
+    int64_t left_us = p->backoff_until_us - g_get_monotonic_time();
     g_autofree char *left =
         left_us > 0 ? g_strdup_printf("%.3f", (double)left_us / WP_US_PER_S)
                     : NULL;
     struct evkeyvalq *h = evhttp_request_get_output_headers(r);
     if (left)
-        note_notice(p, "TOLD", left, id);
-    add_each(h, PF_H_RETRY, left ? left : p->rest);
-    add_head(r, p, id, false);
+        log_notice(p, "TOLD", left, id);
+    add_fields(h, PF_H_RETRY, left ? left : p->retry_after);
+    add_response_headers(r, p, id, false);
     wp_http_reply_text(r, 503, "text/plain", wp_str("rests"));
 }
 
-static bool refuses(Replica *p, struct evhttp_request *r, const char *id)
+/* Refuses the request if it is meant for another replica, has no id, there is
+   no free slot, or a fault asks for it. Returns whether it did. */
+static bool refuse_if_needed(Replica *p, struct evhttp_request *r,
+                             const char *id)
 {
     const char *expected = wp_http_header(r, PF_H_EXPECT_REPLICA);
     bool other = expected && strcmp(expected, p->id) != 0;
     bool full =
         p->running >= p->set->slots || g_rand_double(p->rand) < p->refuse;
-    if (!other && id && rests(p)) {
-        ask_for_rest(p, r, id);
+    if (!other && id && is_backing_off(p)) {
+        refuse_with_retry_after(p, r, id);
         return true;
     }
     if (!other && !full && id)
         return false;
-    add_head(r, p, id, false);
+    add_response_headers(r, p, id, false);
     wp_http_reply_text(r,
                        other ? 421
                        : id  ? 503
@@ -350,8 +377,9 @@
     return true;
 }
 
-/* More than it bears while it is cold: "COLD - ZONE ARRIVALS". */
-static void check_cold(Replica *p)
+/* Logs an arrival while cold, if it is more than the cold_most allowed per
+   second: "COLD - ZONE ARRIVALS". */
+static void check_cold_load(Replica *p)
 {
     int64_t now_us = g_get_monotonic_time();
     unsigned n = 1;
@@ -364,16 +392,16 @@
     if (n <= p->set->cold_most)
         return;
     g_autofree char *line = g_strdup_printf("COLD - %s %u\n", p->set->zone, n);
-    note(p, line);
+    log_line(p, line);
 }
 
-/* A run: "ID PATH VERSION MS ZONE". */
-static void note_run(const Replica *p, struct evhttp_request *r, const char *id)
+/* Logs a run: "ID PATH VERSION MS ZONE". */
+static void log_run(const Replica *p, struct evhttp_request *r, const char *id)
 {
     g_autofree char *line =
         g_strdup_printf("%s %s %s %ld %s\n", id, stand_path(r), p->set->version,
                         now_ms(), p->set->zone);
-    note(p, line);
+    log_line(p, line);
 }
 
 static void run(Replica *p, struct evhttp_request *r)
@@ -381,25 +409,25 @@
     const char *id = wp_http_header(r, PF_H_REQUEST_ID);
     const char *after = wp_http_header(r, PF_H_AFTER_EVENT);
     if (p->limit)
-        note_arrival(p);
+        log_arrival(p);
     if (id)
-        note_notice(p, "CAME", "-", id);
+        log_notice(p, "CAME", "-", id);
     if (id && p->leaving && !strcmp(p->leaving, "1"))
-        note_notice(p, "TOLD", "leaving", id);
-    if (refuses(p, r, id))
+        log_notice(p, "TOLD", "leaving", id);
+    if (refuse_if_needed(p, r, id))
         return;
     int times = GPOINTER_TO_INT(g_hash_table_lookup(p->ids, id));
     g_hash_table_replace(p->ids, g_strdup(id), GINT_TO_POINTER(times + 1));
     p->ran++;
-    check_cold(p);
-    g_autofree char *crash = crash_of(r);
+    check_cold_load(p);
+    g_autofree char *crash = crash_body(r);
     if (crash)
-        note_crash(p, "BAD", crash);
+        log_crash(p, "BAD", crash);
     else
-        note_run(p, r, id);
-    p->wrong += wp_http_header(r, PF_H_KEY) != NULL ||
-                wp_http_header(r, PF_H_HOLD) != NULL;
-    p->keyless += wp_http_header(r, PF_H_WORKSPACE) == NULL;
+        log_run(p, r, id);
+    p->with_caller_fields += wp_http_header(r, PF_H_KEY) != NULL ||
+                             wp_http_header(r, PF_H_HOLD) != NULL;
+    p->without_workspace += wp_http_header(r, PF_H_WORKSPACE) == NULL;
     p->running++;
     Run *n = g_new0(Run, 1);
     n->to = p;
@@ -413,10 +441,11 @@
     n->last = (unsigned)p->events;
     n->cut = g_rand_double(p->rand) < p->cut;
     n->timer = evtimer_new(p->base, on_timer, n);
-    evhttp_connection_set_closecb(evhttp_request_get_connection(r), on_gone, n);
+    evhttp_connection_set_closecb(evhttp_request_get_connection(r),
+                                  on_client_gone, n);
     if (n->cut && !n->stream) {
         end_run(n);
-        stand_cut(r);
+        stand_close_connection(r);
         return;
     }
     double ms = p->delay_ms + (n->slow ? p->slow_ms : 0) + crash_ms(n);
@@ -442,7 +471,7 @@
     GHashTableIter it;
     gpointer id, times;
     bool was = p->draining;
-    double rest_ms = -1;
+    double backoff_ms = -1;
     stand_set_number(j, "fail", &p->fail);
     stand_set_number(j, "refuse", &p->refuse);
     stand_set_number(j, "cut", &p->cut);
@@ -458,24 +487,24 @@
             g_strdup(json_string_value(json_object_get(j, "fail_path")));
     set_text(j, "limit", &p->limit);
     set_text(j, "leaving", &p->leaving);
-    set_text(j, "rest", &p->rest);
-    stand_set_number(j, "rest_ms", &rest_ms);
-    if (rest_ms >= 0)
-        p->rest_until_us =
-            g_get_monotonic_time() + (int64_t)(rest_ms * WP_US_PER_MS);
+    set_text(j, "rest", &p->retry_after);
+    stand_set_number(j, "rest_ms", &backoff_ms);
+    if (backoff_ms >= 0)
+        p->backoff_until_us =
+            g_get_monotonic_time() + (int64_t)(backoff_ms * WP_US_PER_MS);
     stand_set_bool(j, "noting", &p->noting);
     stand_set_bool(j, "draining", &p->draining);
     if (was != p->draining)
-        list_self(p);
+        register_self(p);
     json_decref(j);
     g_hash_table_iter_init(&it, p->ids);
     while (g_hash_table_iter_next(&it, &id, &times))
         json_object_set_new(ids, id, json_integer(GPOINTER_TO_INT(times)));
-    wp_http_reply_json(r, 200,
-                       json_pack("{s:s,s:o,s:f,s:f,s:f,s:i}", "id", p->id,
-                                 "ids", ids, "ran", p->ran, "wrong", p->wrong,
-                                 "keyless", p->keyless, "running",
-                                 (int)p->running));
+    wp_http_reply_json(
+        r, 200,
+        json_pack("{s:s,s:o,s:f,s:f,s:f,s:i}", "id", p->id, "ids", ids, "ran",
+                  p->ran, "wrong", p->with_caller_fields, "keyless",
+                  p->without_workspace, "running", (int)p->running));
 }
 
 static void on_request(struct evhttp_request *r, void *arg)
@@ -507,5 +536,5 @@
     p->events = 5;
     p->ids = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     evhttp_set_gencb(http, on_request, p);
-    list_self(p);
+    register_self(p);
 }
--- a/standins/stand.c
+++ b/standins/stand.c
@@ -1,4 +1,4 @@
-/* wpstand: runs one stand-in. */
+/* wpstand: runs one stand-in, the one that the setting `kind` names. */
 #include "stand.h"
 #include "daemon.h"
 
@@ -18,7 +18,7 @@
         *out = json_is_true(v);
 }
 
-void stand_cut(struct evhttp_request *r)
+void stand_close_connection(struct evhttp_request *r)
 {
     evhttp_connection_free(evhttp_request_get_connection(r));
 }
@@ -30,7 +30,7 @@
 }
 
 #ifdef __SANITIZE_ADDRESS__
-/* A stand-in's state lives as long as its process. */
+/* No leak check: a stand-in's state is never freed. */
 const char *__asan_default_options(void);
 
 const char *__asan_default_options(void)
--- a/tests/scenario_measures.c
+++ b/tests/scenario_measures.c
@@ -49,14 +49,14 @@
 }
 
 /* Whether a request with this result and number of runs is to be counted. */
-typedef bool (*FateTest)(const LoadFate *f, guint runs);
+typedef bool (*FateTest)(const LoadOutcome *f, guint runs);
 
-static bool ran_twice(const LoadFate *f, guint runs)
+static bool ran_twice(const LoadOutcome *f, guint runs)
 {
-    return f->once && runs > 1;
+    return f->has_idempotency_key && runs > 1;
 }
 
-static bool answered_without_run(const LoadFate *f, guint runs)
+static bool answered_without_run(const LoadOutcome *f, guint runs)
 {
     return f->ok && runs == 0;
 }
@@ -65,10 +65,10 @@
 {
     json_t *rows = read_ledgers(s, NULL);
     g_autoptr(GHashTable) runs = count_by(rows, "digest");
-    const GArray *fates = load_result(s->load)->fates;
+    const GArray *fates = load_result(s->load)->outcomes;
     double n = 0;
     for (guint i = 0; i < fates->len; i++) {
-        const LoadFate *f = &g_array_index(fates, LoadFate, i);
+        const LoadOutcome *f = &g_array_index(fates, LoadOutcome, i);
         n += test(f, count_of(runs, f->digest));
     }
     json_decref(rows);
@@ -162,12 +162,12 @@
 {
     json_t *list = read_charges(s);
     g_autoptr(GHashTable) by_id = count_by(list, "request_id");
-    const GArray *fates = load_result(s->load)->fates;
+    const GArray *fates = load_result(s->load)->outcomes;
     double missing = 0, n_double = 0;
     json_t *c;
     size_t i;
     for (guint k = 0; k < fates->len; k++) {
-        const LoadFate *f = &g_array_index(fates, LoadFate, k);
+        const LoadOutcome *f = &g_array_index(fates, LoadOutcome, k);
         if (f->ok && f->request_id[0] && !count_of(by_id, f->request_id))
             missing++;
     }
@@ -206,13 +206,13 @@
         { "not_run", r ? (double)r->not_run : 0 },
         { "unknown", r ? (double)r->unknown : 0 },
         { "no_answer", r ? (double)r->no_answer : 0 },
-        { "cut", r ? (double)r->cut : 0 },
+        { "cut", r ? (double)r->aborted : 0 },
         { "wrong", r ? (double)r->wrong : 0 },
         { "session_breaks", r ? (double)r->session_breaks : 0 },
         { "session_moves", r ? (double)r->session_moves : 0 },
-        { "late_finals", r ? (double)r->late_finals : 0 },
+        { "late_finals", r ? (double)r->late_refusals : 0 },
         { "first_p99_ms", r ? sample_quantile(r->first_ms, 0.99) : 0 },
-        { "whole_max_ms", r ? sample_quantile(r->whole_ms, 1) : 0 },
+        { "whole_max_ms", r ? sample_quantile(r->complete_ms, 1) : 0 },
     };
     if (!r)
         return NAN;
@@ -279,7 +279,7 @@
     g_auto(GStrv) parts = g_strsplit(name, ".", 2);
     const Proc *p = site_proc(s, parts[0]);
     g_autofree char *text =
-        p && parts[1] ? site_text(s, p->admin_port, "/metrics") : NULL;
+        p && parts[1] ? site_fetch_text(s, p->admin_port, "/metrics") : NULL;
     g_autofree char *start =
         parts[1] ? g_strdup_printf("\nwp_%s{", parts[1]) : NULL;
     const char *at = text ? strstr(text, start) : NULL;
--- a/tests/scenario_steps.c
+++ b/tests/scenario_steps.c
@@ -50,12 +50,13 @@
     if (!p)
         return false;
     site_signal(p, SIGTERM);
-    while (!site_ended(p)) {
+    while (!site_process_exited(p)) {
         if (g_get_monotonic_time() > until) {
-            g_string_append_printf(s->why, "%s has not stopped; ", p->name);
+            g_string_append_printf(s->error_text, "%s has not stopped; ",
+                                   p->name);
             return false;
         }
-        site_pump(s, 10);
+        site_run_loop(s, 10);
     }
     return true;
 }
@@ -64,7 +65,7 @@
 {
     Proc *p = site_proc(s, t->name);
     if (p)
-        site_box(s, p, t->value);
+        site_announce_box(s, p, t->value);
     return p != NULL;
 }
 
@@ -105,10 +106,10 @@
     load_stop(s->load);
     while (!load_done(s->load)) {
         if (g_get_monotonic_time() > until) {
-            g_string_append(s->why, "requests without an end; ");
+            g_string_append(s->error_text, "requests without an end; ");
             return false;
         }
-        site_pump(s, 20);
+        site_run_loop(s, 20);
     }
     return true;
 }
@@ -127,14 +128,16 @@
 
 static bool report_miss(Site *s, const Wp__Step *t, double v)
 {
-    g_string_append_printf(s->why, "%s %s is %g", t->do_, t->name, v);
+    g_string_append_printf(s->error_text, "%s %s is %g", t->do_, t->name, v);
     if (t->has_at_most)
-        g_string_append_printf(s->why, ", expected at most %g", t->at_most);
+        g_string_append_printf(s->error_text, ", expected at most %g",
+                               t->at_most);
     if (t->has_at_least)
-        g_string_append_printf(s->why, ", expected at least %g", t->at_least);
+        g_string_append_printf(s->error_text, ", expected at least %g",
+                               t->at_least);
     if (t->has_equals)
-        g_string_append_printf(s->why, ", expected %g", t->equals);
-    g_string_append(s->why, "; ");
+        g_string_append_printf(s->error_text, ", expected %g", t->equals);
+    g_string_append(s->error_text, "; ");
     return false;
 }
 
@@ -143,8 +146,8 @@
     s->ctl_exit = site_ctl(s, t->arg, NULL);
     return !t->has_equals || s->ctl_exit == t->equals
                ? true
-               : (g_string_append_printf(s->why, "wpctl %s: exit %d; ", t->arg,
-                                         s->ctl_exit),
+               : (g_string_append_printf(s->error_text, "wpctl %s: exit %d; ",
+                                         t->arg, s->ctl_exit),
                   false);
 }
 
@@ -153,13 +156,13 @@
 static bool do_race(Site *s, const Wp__Step *t)
 {
     g_auto(GStrv) parts = g_strsplit(t->arg, "|", 2);
-    GPid a = site_ctl_begin(s, parts[0]);
-    GPid b = site_ctl_begin(s, parts[1]);
-    s->ctl_exit = site_ctl_end(s, a) + site_ctl_end(s, b);
+    GPid a = site_ctl_start(s, parts[0]);
+    GPid b = site_ctl_start(s, parts[1]);
+    s->ctl_exit = site_ctl_wait(s, a) + site_ctl_wait(s, b);
     return !t->has_equals || s->ctl_exit == t->equals
                ? true
-               : (g_string_append_printf(s->why, "race: exits sum to %d; ",
-                                         s->ctl_exit),
+               : (g_string_append_printf(
+                      s->error_text, "race: exits sum to %d; ", s->ctl_exit),
                   false);
 }
 
@@ -174,7 +177,7 @@
 /* Lets the load run for t->seconds. */
 static bool do_run(Site *s, const Wp__Step *t)
 {
-    site_pump(s, (int)(t->seconds * WP_MS_PER_S));
+    site_run_loop(s, (int)(t->seconds * WP_MS_PER_S));
     return true;
 }
 
@@ -189,7 +192,7 @@
             return true;
         if (g_get_monotonic_time() > until)
             return report_miss(s, t, v);
-        site_pump(s, 20);
+        site_run_loop(s, 20);
     }
 }
 
@@ -226,6 +229,6 @@
     for (size_t i = 0; i < WP_COUNT(steps); i++)
         if (!strcmp(steps[i].name, t->do_))
             return steps[i].run(s, t);
-    g_string_append_printf(s->why, "unknown word %s; ", t->do_);
+    g_string_append_printf(s->error_text, "unknown word %s; ", t->do_);
     return false;
 }
--- a/tests/test_edges.c
+++ b/tests/test_edges.c
@@ -24,15 +24,15 @@
     plan.entries = 1;
     plan.agents = 2;
     site = site_new(&plan, bin, NULL);
-    if (site_up(site))
+    if (site_start_all(site))
         return 0;
-    print_error("%s\n", site->why->str);
+    print_error("%s\n", site->error_text->str);
     return -1;
 }
 
 static int tear_down(void **state)
 {
-    g_autofree char *complaint = site_complaint(site);
+    g_autofree char *complaint = site_sanitizer_report(site);
     (void)state;
     if (complaint)
         print_error("%s\n", complaint);
@@ -244,7 +244,7 @@
             if (json_is_true(json_object_get(one, "cancelled")))
                 row = json_incref(one);
         json_decref(rows);
-        site_pump(site, 20);
+        site_run_loop(site, 20);
     }
     json_decref(site_fetch(site, x->port, "/control", "{\"slow\":1}"));
     assert_non_null(row);
@@ -300,7 +300,7 @@
         site_fetch(site, x->port, "/control", "{\"slow\":0.1,\"pad\":4000}"));
     send_bytes(fd, text, strlen(text));
     for (int i = 0; i < 1000 && !engine_has_run(LONG_ANSWER_TOKENS); i++)
-        site_pump(site, 20);
+        site_run_loop(site, 20);
     assert_true(engine_has_run(LONG_ANSWER_TOKENS));
     if (resident_kb("e1") > entry_kb + 4096 ||
         resident_kb("a1") > agent_kb + 4096)
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -15,7 +15,7 @@
                     .fanout = 3,
                     .versions = 4 };
     Fleet *f = fleet_new(&p);
-    fleet_settle(f);
+    fleet_start_converged(f);
     return f;
 }
 
@@ -25,7 +25,7 @@
 {
     int64_t start = fleet_now(f).mono_us;
     for (int i = 0; i < 500; i++) {
-        if (!fleet_behind(f, revision))
+        if (!fleet_count_behind(f, revision))
             return (double)(fleet_now(f).mono_us - start) / WP_US_PER_S;
         fleet_run(f, 20000);
     }
@@ -58,8 +58,8 @@
         if (round % 5 == 0)
             fleet_change(f, 100);
         if (round % 7 == 0)
-            fleet_set_store(f, g_rand_boolean(r));
-        fleet_set_cut(f, n, g_rand_boolean(r));
+            fleet_set_store_up(f, g_rand_boolean(r));
+        fleet_set_partitioned(f, n, g_rand_boolean(r));
         fleet_run(f, 300000);
         for (unsigned i = 0; i < 60; i++) {
             uint64_t now = wp_config_revision(wp_node_config(fleet_node(f, i)));
@@ -68,8 +68,8 @@
         }
     }
     for (unsigned i = 0; i < 60; i++)
-        fleet_set_cut(f, i, false);
-    fleet_set_store(f, true);
+        fleet_set_partitioned(f, i, false);
+    fleet_set_store_up(f, true);
     assert_true(propagation_s(f, fleet_change(f, 100)) < 40);
     g_rand_free(r);
     fleet_free(f);
@@ -84,12 +84,12 @@
     for (uint32_t seed = 1; seed <= 20; seed++) {
         Fleet *f = fleet_of(20, 0, seed);
         for (unsigned i = 0; i < 4; i++)
-            fleet_set_cut(f, i, true);
+            fleet_set_partitioned(f, i, true);
         uint64_t rev = fleet_change(f, 100);
         fleet_run(f, 3000000);
-        fleet_set_store(f, false);
+        fleet_set_store_up(f, false);
         for (unsigned i = 0; i < 4; i++)
-            fleet_set_cut(f, i, false);
+            fleet_set_partitioned(f, i, false);
         fleet_restart(f, 10);
         for (int i = 0; i < 200 && !wp_node_ready(fleet_node(f, 10)); i++)
             fleet_run(f, 20000);
@@ -129,16 +129,16 @@
     Fleet *f = fleet_of(300, 0, 9);
     (void)state;
     fleet_run(f, 20 * WP_US_PER_S);
-    FleetCosts c = fleet_costs(f);
+    FleetCosts c = fleet_take_costs(f);
     /* Two boxes in each of the three zones read every two seconds, and there
        are their watches. */
     assert_true(c.store_reads <= 20 * 6);
     /* The store is down for a minute: boxes that poll it do not flood it, with
        at most 300 reads in any second. */
-    fleet_set_store(f, false);
+    fleet_set_store_up(f, false);
     for (int i = 0; i < 60; i++) {
         fleet_run(f, WP_US_PER_S);
-        c = fleet_costs(f);
+        c = fleet_take_costs(f);
         if (c.store_reads > 300)
             fail_msg("second %d: %lu reads", i, (unsigned long)c.store_reads);
     }
--- a/tests/test_lab.c
+++ b/tests/test_lab.c
@@ -4,18 +4,18 @@
 #include "lab.h"
 #include "test.h"
 
-static const LabTruth truth[] = { { "rider-answer", "planner-1", 0.97 },
-                                  { "damage-tag", "planner-1", 0.96 },
-                                  { "summary", "planner-1", 0.97 },
-                                  { "plan", "planner-1", 0.95 } };
+static const LabTrueQuality truth[] = { { "rider-answer", "planner-1", 0.97 },
+                                        { "damage-tag", "planner-1", 0.96 },
+                                        { "summary", "planner-1", 0.97 },
+                                        { "plan", "planner-1", 0.95 } };
 static const LabPool pool[] = { { "planner-1", 20 } };
 
 static LabPlan one_pool(const char *rules, const char *mix)
 {
     LabPlan p = { .rules = rules,
                   .mix = mix,
-                  .truth = truth,
-                  .n_truth = WP_COUNT(truth),
+                  .true_quality = truth,
+                  .n_true_quality = WP_COUNT(truth),
                   .pools = pool,
                   .n_pools = 1,
                   .entries = 3,
@@ -41,7 +41,7 @@
     p.balance = balance;
     lab_run(&p, &r);
     double ms = sample_quantile(r.first_ms, 0.99);
-    lab_end(&r);
+    lab_result_destroy(&r);
     return ms;
 }
 
@@ -93,18 +93,18 @@
                 assert_true((double)r.kinds[i].ok /
                                 (double)r.kinds[i].offered >=
                             (double)r.kinds[k].ok / (double)r.kinds[k].offered);
-    lab_end(&r);
-    lab_end(&normal);
+    lab_result_destroy(&r);
+    lab_result_destroy(&normal);
 }
 
 static LabPlan canary_plan(const Wp__Chart *chart)
 {
-    static const LabTruth two[] = { { "rider-answer", "old", 0.92 },
-                                    { "rider-answer", "new", 0.92 } };
+    static const LabTrueQuality two[] = { { "rider-answer", "old", 0.92 },
+                                          { "rider-answer", "new", 0.92 } };
     static const LabPool pools[] = { { "old", 10 }, { "new", 10 } };
     LabPlan p = one_pool("bench/rollout.yaml", "bench/rated-mix.yaml");
-    p.truth = two;
-    p.n_truth = 2;
+    p.true_quality = two;
+    p.n_true_quality = 2;
     p.pools = pools;
     p.n_pools = 2;
     p.choose = "cost";
@@ -126,14 +126,14 @@
     LabPlan p = canary_plan(chart);
     LabResult r;
     lab_run(&p, &r);
-    assert_string_equal(r.state, "done");
-    lab_end(&r);
+    assert_string_equal(r.rollout_state, "done");
+    lab_result_destroy(&r);
     p.bad_version = "new";
     p.bad_quality = 0.5;
     lab_run(&p, &r);
-    assert_string_equal(r.state, "stopped");
+    assert_string_equal(r.rollout_state, "stopped");
     assert_true(r.bad_served < 0.02 * (double)r.window_served);
-    lab_end(&r);
+    lab_result_destroy(&r);
     wp_pb_free(chart);
 }
 
--- a/tests/test_limit.c
+++ b/tests/test_limit.c
@@ -5,7 +5,7 @@
  * boxes forwarded the field to callers but did not read it, and chose endpoints
  * as before. Each endpoint was overrun by first attempts of one box alone, at
  * the rate that it had before. */
-#include "limit_play.h"
+#include "limit_sim.h"
 #include "shift_fake.h"
 
 #include <math.h>
@@ -391,13 +391,14 @@
    `min_used`), whichever boxes callers come to. */
 static void check_simulation(const LimitPlan *p, double min_used)
 {
-    const LimitSums s = limit_play(p);
-    if (s.over || s.used < min_used)
-        fail_msg("%u boxes, callers %d, trouble %d: most %u of %u, used %.2f",
-                 p->boxes, (int)p->callers, (int)p->trouble, s.most,
-                 limit_allowed(p->per_s), s.used);
-    if (p->limited < 1)
-        assert_true(s.served >= 0.98);
+    const LimitResult s = limit_simulate(p);
+    if (s.endpoints_over || s.utilization < min_used)
+        fail_msg("%u boxes, callers %d, fault %d: max_in_window %u of %u, "
+                 "utilization %.2f",
+                 p->boxes, (int)p->callers, (int)p->fault, s.max_in_window,
+                 limit_allowed_in_window(p->limit_per_s), s.utilization);
+    if (p->limited_share < 1)
+        assert_true(s.served_share >= 0.98);
 }
 
 static const struct {
@@ -417,10 +418,10 @@
     return (LimitPlan){ .boxes = sites[site].boxes,
                         .endpoints = sites[site].endpoints,
                         .zones = sites[site].zones,
-                        .limited = limited,
-                        .per_s = per_s,
-                        .then_per_s = -1,
-                        .asked_per_s = sites[site].asked_per_s,
+                        .limited_share = limited,
+                        .limit_per_s = per_s,
+                        .new_limit_per_s = -1,
+                        .requests_per_s = sites[site].asked_per_s,
                         .seed = 1 };
 }
 
@@ -455,11 +456,12 @@
 {
     (void)state;
     for (size_t i = 0; i < WP_COUNT(sites); i++)
-        for (LimitTrouble t = LIMIT_KILLS; t < LIMIT_TROUBLES_COUNT; t++) {
+        for (LimitFault t = LIMIT_ROLLING_RESTARTS; t < LIMIT_FAULTS_COUNT;
+             t++) {
             LimitPlan p = plan_of(i, 1, 3);
-            p.trouble = t;
-            if (i < QUICK_SITES ? t != LIMIT_DEAF || p.boxes <= 12
-                                : t == LIMIT_KILLS)
+            p.fault = t;
+            if (i < QUICK_SITES ? t != LIMIT_NO_UPDATES || p.boxes <= 12
+                                : t == LIMIT_ROLLING_RESTARTS)
                 check_simulation(&p, 0.75);
         }
 }
@@ -469,7 +471,7 @@
     (void)state;
     for (size_t i = 0; i < QUICK_SITES; i++) {
         LimitPlan p = plan_of(i, 0.3, 8);
-        p.then_per_s = 2;
+        p.new_limit_per_s = 2;
         check_simulation(&p, 0.6);
     }
 }
@@ -479,10 +481,10 @@
     (void)state;
     for (size_t i = 0; i < QUICK_SITES; i++) {
         LimitPlan p = plan_of(i, 0.2, LIMIT);
-        p.then_per_s = 0;
-        const LimitSums s = limit_play(&p);
-        assert_int_equal(s.over, 0);
-        assert_true(s.back > 0.5 && s.back < 2);
+        p.new_limit_per_s = 0;
+        const LimitResult s = limit_simulate(&p);
+        assert_int_equal(s.endpoints_over, 0);
+        assert_true(s.recovered_ratio > 0.5 && s.recovered_ratio < 2);
     }
 }
 
--- a/tests/test_pace.c
+++ b/tests/test_pace.c
@@ -1,7 +1,7 @@
 /* Cold-start pacing of endpoints that have just started: the bound on requests
  * that reach one of them within a second, from all boxes together. */
 #include "direct_fake.h"
-#include "pace_play.h"
+#include "pace_sim.h"
 
 /* 18 requests a second, an overshoot of half as many again, and a slack of
    five. */
@@ -19,9 +19,9 @@
                        .endpoints = sizes[size].endpoints,
                        .seed = seed,
                        .view = view,
-                       .herd = herd,
+                       .same_order = herd,
                        .rules = rules,
-                       .per_endpoint = 30 };
+                       .endpoint_rate = 30 };
 }
 
 /* The bound holds whatever the boxes know of each other, whichever endpoints
@@ -36,10 +36,10 @@
         for (PaceView v = PACE_ALL_KNOWN; v <= PACE_NEW_BOXES; v++)
             for (uint32_t seed = 1; seed <= SEEDS; seed++) {
                 const PacePlan p = plan_of(i, v, seed % 2, seed);
-                const PaceSums s = pace_play(&p, &pace_owners);
-                if (s.most > BOUND)
+                const PaceResult s = pace_simulate(&p, &pace_policy_quota);
+                if (s.max_in_second > BOUND)
                     fail_msg("%u boxes, view %d, seed %u: %u", p.boxes, (int)v,
-                             seed, s.most);
+                             seed, s.max_in_second);
             }
 }
 
@@ -47,7 +47,8 @@
 {
     const PacePlan p = plan_of(2, PACE_ALL_KNOWN, true, 1);
     (void)state;
-    assert_true(pace_play(&p, &pace_none).most > BOUND);
+    assert_true(pace_simulate(&p, &pace_policy_unlimited).max_in_second >
+                BOUND);
 }
 
 /* At the usual load, a zone whose endpoints have all just started serves its
@@ -57,11 +58,11 @@
     (void)state;
     for (size_t i = 1; i < WP_COUNT(sizes); i++) {
         PacePlan p = plan_of(i, PACE_ALL_KNOWN, false, 1);
-        p.per_endpoint = 7;
+        p.endpoint_rate = 7;
         p.endpoints = MAX(4, p.boxes * 4); /* some for each box alone */
-        const PaceSums s = pace_play(&p, &pace_owners);
-        assert_in_range(s.carries_ms, 1, 500);
-        assert_true(s.elsewhere < 0.1);
+        const PaceResult s = pace_simulate(&p, &pace_policy_quota);
+        assert_in_range(s.recovery_ms, 1, 500);
+        assert_true(s.remote_share < 0.1);
     }
 }
 
--- a/tests/wpscenario.c
+++ b/tests/wpscenario.c
@@ -23,7 +23,7 @@
     for (size_t i = 0; ok && i < plan->n_steps; i++) {
         ok = site_step(s, plan->steps[i]);
         if (!ok)
-            g_string_append_printf(s->why, "at step %zu", i + 1);
+            g_string_append_printf(s->error_text, "at step %zu", i + 1);
     }
     if (ok)
         return NULL;
@@ -31,10 +31,10 @@
         json_t *o = load_json(s->load);
         g_autofree char *text =
             json_dumps(json_object_get(o, "codes"), JSON_COMPACT);
-        g_string_append_printf(s->why, "; refusals %s", text);
+        g_string_append_printf(s->error_text, "; refusals %s", text);
         json_decref(o);
     }
-    return g_strdup(s->why->str);
+    return g_strdup(s->error_text->str);
 }
 
 /* Runs the scenario once, with `disabled_guard` off unless it is NULL. Returns
@@ -45,13 +45,13 @@
                           const char *disabled_guard)
 {
     Site *s = site_new(plan, bin, disabled_guard);
-    if (!site_up(s)) {
-        print_error("    %s: %s\n", plan->name, s->why->str);
+    if (!site_start_all(s)) {
+        print_error("    %s: %s\n", plan->name, s->error_text->str);
         site_free(s);
         fail();
     }
     char *why = run_steps(s, plan);
-    g_autofree char *complaint = site_complaint(s);
+    g_autofree char *complaint = site_sanitizer_report(s);
     if (complaint) {
         print_error("    %s: %s\n", plan->name, complaint);
         site_free(s);
--- a/tools/load.c
+++ b/tools/load.c
@@ -1,4 +1,4 @@
-/* The load generator. */
+/* The load generator: sends requests and checks the answers. */
 #include "load_int.h"
 #include "wp_request_parse.h"
 #include "wp_pb.h"
@@ -8,8 +8,8 @@
 #include <math.h>
 #include <stdlib.h>
 
-#define TAIL_SHAPE 1.5 /* of heavy-tailed answers (Pareto) */
-#define TAIL_MOST 20.0
+#define TAIL_SHAPE 1.5 /* of heavy-tailed answer lengths (Pareto) */
+#define TAIL_MAX 20.0  /* longest answer as a multiple of answer_tokens */
 #define SESSION_TURNS 8
 #define CALL_TIMEOUT_S 60
 #define HEALTH_MS 100
@@ -22,11 +22,11 @@
     struct evhttp_connection *con;
     Session *session;
     int64_t start_us, first_us, last_us;
-    unsigned tokens, repeats;
-    bool told; /* an error event said that the rest will not come */
+    unsigned tokens, retries;
+    bool error_event; /* an error event said that the answer is incomplete */
     GString *text, *raw;
-    char *prompt, *once;
-    LoadFate fate;
+    char *prompt, *idempotency_key;
+    LoadOutcome outcome;
     bool done_seen, counted_first;
 } Call;
 
@@ -35,7 +35,8 @@
     return g_get_monotonic_time();
 }
 
-static double *need_count(GHashTable *t, const char *name)
+/* The counter of this name in the table; added with the value 0 if missing. */
+static double *counter(GHashTable *t, const char *name)
 {
     double *n = g_hash_table_lookup(t, name);
     if (!n) {
@@ -62,7 +63,7 @@
     g_free(s->version);
     memset(s, 0, sizeof(*s));
     wp_uuid7(s->id, (uint64_t)(g_get_real_time() / WP_US_PER_MS), l->rand);
-    s->by_token = g_rand_boolean(l->rand);
+    s->uses_token = g_rand_boolean(l->rand);
 }
 
 static void make_prefixes(Load *l)
@@ -77,8 +78,8 @@
 {
     Target *t = arg;
     (void)body;
-    t->asking = false;
-    t->well = status == 200;
+    t->check_pending = false;
+    t->healthy = status == 200;
 }
 
 static void on_health_timer(evutil_socket_t fd, short what, void *arg)
@@ -88,9 +89,9 @@
     (void)what;
     for (size_t i = 0; i < l->n_targets; i++) {
         Target *t = &l->targets[i];
-        if (!t->asking)
+        if (!t->check_pending)
             wp_http_call(t->health, "/healthz", NULL, on_health, NULL, t);
-        t->asking = true;
+        t->check_pending = true;
     }
 }
 
@@ -101,7 +102,7 @@
     for (size_t i = 0; i < n; i++) {
         g_queue_init(&l->targets[i].idle);
         g_queue_init(&l->targets[i].failed);
-        l->targets[i].well = true;
+        l->targets[i].healthy = true;
         l->targets[i].health =
             wp_http_new(l->base, entries[i], HEALTH_TIMEOUT_MS);
         if (!wp_http_parse_target(entries[i], &l->targets[i].host,
@@ -128,9 +129,9 @@
     l->r.quality = new_table();
     l->r.served = new_table();
     l->r.first_ms = g_array_new(FALSE, FALSE, sizeof(double));
-    l->r.whole_ms = g_array_new(FALSE, FALSE, sizeof(double));
-    l->r.between_ms = g_array_new(FALSE, FALSE, sizeof(double));
-    l->r.fates = g_array_new(FALSE, FALSE, sizeof(LoadFate));
+    l->r.complete_ms = g_array_new(FALSE, FALSE, sizeof(double));
+    l->r.event_gap_ms = g_array_new(FALSE, FALSE, sizeof(double));
+    l->r.outcomes = g_array_new(FALSE, FALSE, sizeof(LoadOutcome));
     l->r.refused_ids = g_ptr_array_new_with_free_func(g_free);
     l->timer = evtimer_new(base, on_timer, l);
     l->health = event_new(base, -1, EV_PERSIST, on_health_timer, l);
@@ -180,40 +181,40 @@
     g_hash_table_unref(l->r.quality);
     g_hash_table_unref(l->r.served);
     g_array_unref(l->r.first_ms);
-    g_array_unref(l->r.whole_ms);
-    g_array_unref(l->r.between_ms);
-    g_array_unref(l->r.fates);
+    g_array_unref(l->r.complete_ms);
+    g_array_unref(l->r.event_gap_ms);
+    g_array_unref(l->r.outcomes);
     g_ptr_array_unref(l->r.refused_ids);
     g_ptr_array_unref(l->prefixes);
     g_rand_free(l->rand);
     g_free(l);
 }
 
-/* --- one call --- */
+/* --- one request --- */
 
 static void free_call(Call *c)
 {
     g_string_free(c->text, TRUE);
     g_string_free(c->raw, TRUE);
     g_free(c->prompt);
-    g_free(c->once);
+    g_free(c->idempotency_key);
     g_free(c);
 }
 
-static void note_token(Call *c, const char *text)
+static void record_token(Call *c, const char *text)
 {
     int64_t now = now_us();
     double gap = (double)(now - c->last_us) / WP_US_PER_MS;
     if (!c->first_us)
         c->first_us = now;
     else
-        g_array_append_val(c->load->r.between_ms, gap);
+        g_array_append_val(c->load->r.event_gap_ms, gap);
     c->last_us = now;
     c->tokens++;
     g_string_append(c->text, text);
 }
 
-static void take_event(Call *c, const char *data)
+static void handle_event(Call *c, const char *data)
 {
     if (!strcmp(data, "[DONE]")) {
         c->done_seen = true;
@@ -224,8 +225,8 @@
         json_array_get(json_object_get(j, "choices"), 0), "delta");
     const char *text = json_string_value(json_object_get(delta, "content"));
     if (text)
-        note_token(c, text);
-    c->told |= json_object_get(j, "error") != NULL;
+        record_token(c, text);
+    c->error_event |= json_object_get(j, "error") != NULL;
     json_decref(j);
 }
 
@@ -243,7 +244,7 @@
     while ((end = strstr(c->raw->str, "\n\n"))) {
         *end = 0;
         if (g_str_has_prefix(c->raw->str, "data: "))
-            take_event(c, c->raw->str + 6);
+            handle_event(c, c->raw->str + 6);
         g_string_erase(c->raw, 0, end + 2 - c->raw->str);
     }
 }
@@ -285,14 +286,14 @@
     json_decref(j);
 }
 
-static void judge_session(Call *c, struct evhttp_request *r,
+static void check_session(Call *c, struct evhttp_request *r,
                           const char *version)
 {
     Session *s = c->session;
     const char *token = wp_http_header(r, WP_H_SESSION_TOKEN);
     if (!s)
         return;
-    s->busy = false;
+    s->in_flight = false;
     if (s->version && strcmp(s->version, version)) {
         if (wp_http_header(r, WP_H_SESSION_MOVED))
             c->load->r.session_moves++;
@@ -309,7 +310,7 @@
         new_session(c->load, s);
 }
 
-static void judge_quality(Call *c, const char *version)
+static void check_quality(Call *c, const char *version)
 {
     Load *l = c->load;
     bool good = strstr(c->text->str, " good ") != NULL;
@@ -327,43 +328,44 @@
     rate(l, c->item->kind, version, good);
 }
 
-static void judge_ok(Call *c, struct evhttp_request *r)
+static void check_answer(Call *c, struct evhttp_request *r)
 {
     Load *l = c->load;
     const char *version = wp_http_header(r, WP_H_VERSION);
     if (!c->item->stream || c->item->service)
         read_plain(c);
     if (!c->done_seen) {
-        l->r.cut += !c->told;
-        l->r.unknown += c->told;
+        l->r.aborted += !c->error_event;
+        l->r.unknown += c->error_event;
         if (c->session)
-            c->session->busy = false;
+            c->session->in_flight = false;
         return;
     }
-    if (!strstr(c->text->str, c->item->service ? c->prompt : c->fate.digest)) {
+    if (!strstr(c->text->str,
+                c->item->service ? c->prompt : c->outcome.digest)) {
         l->r.wrong++;
         return;
     }
-    double first = (double)(c->first_us - c->start_us) / WP_US_PER_MS;
-    double whole = (double)(c->last_us - c->start_us) / WP_US_PER_MS;
+    double first_ms = (double)(c->first_us - c->start_us) / WP_US_PER_MS;
+    double complete_ms = (double)(c->last_us - c->start_us) / WP_US_PER_MS;
     l->r.ok++;
-    c->fate.ok = true;
-    c->fate.first_ms = first;
-    g_array_append_val(l->r.first_ms, first);
-    g_array_append_val(l->r.whole_ms, whole);
-    ++*need_count(l->r.versions, version ? version : "?");
-    ++*need_count(l->r.served, c->item->workspace);
+    c->outcome.ok = true;
+    c->outcome.first_ms = first_ms;
+    g_array_append_val(l->r.first_ms, first_ms);
+    g_array_append_val(l->r.complete_ms, complete_ms);
+    ++*counter(l->r.versions, version ? version : "?");
+    ++*counter(l->r.served, c->item->workspace);
     const double *cost =
         l->costs && version ? g_hash_table_lookup(l->costs, version) : NULL;
     if (cost)
         l->r.cost += *cost * c->tokens / 1000;
     if (version && !c->item->service) {
-        judge_quality(c, version);
-        judge_session(c, r, version);
+        check_quality(c, version);
+        check_session(c, r, version);
     }
 }
 
-static void judge_refusal(Call *c, struct evhttp_request *r)
+static void check_refusal(Call *c, struct evhttp_request *r)
 {
     Load *l = c->load;
     json_t *j = json_loadb(c->raw->str, c->raw->len, 0, NULL);
@@ -371,33 +373,34 @@
         json_string_value(json_object_get(json_object_get(j, "error"), "code"));
     double took = (double)(now_us() - c->start_us) / WP_US_PER_MS;
     (void)r;
-    ++*need_count(l->r.codes, code ? code : "?");
-    if (!strcmp(c->fate.ran, "not_run")) {
-        g_ptr_array_add(l->r.refused_ids, g_strdup(c->fate.request_id));
+    ++*counter(l->r.codes, code ? code : "?");
+    if (!strcmp(c->outcome.ran, "not_run")) {
+        g_ptr_array_add(l->r.refused_ids, g_strdup(c->outcome.request_id));
         l->r.not_run++;
-        l->r.late_finals += took > 0.9 * c->item->deadline_ms;
+        l->r.late_refusals += took > 0.9 * c->item->deadline_ms;
     } else {
         l->r.unknown++;
     }
     json_decref(j);
     if (c->session)
-        c->session->busy = false;
+        c->session->in_flight = false;
 }
 
 static void send_call(Call *c);
 
-/* The caller's own retry, with the same key, through another entry. */
-static bool repeat(Call *c)
+/* Sends the request again through the next entry with the same idempotency
+   key, as a caller would. Returns false if no retries are left. */
+static bool retry(Call *c)
 {
-    if (c->repeats >= c->item->repeats)
+    if (c->retries >= c->item->repeats)
         return false;
-    c->repeats++;
+    c->retries++;
     c->target = &c->load->targets[(size_t)(c->target - c->load->targets + 1) %
                                   c->load->n_targets];
     g_string_truncate(c->raw, 0);
     g_string_truncate(c->text, 0);
     c->done_seen = false;
-    c->told = false;
+    c->error_event = false;
     c->first_us = 0;
     send_call(c);
     return true;
@@ -406,10 +409,10 @@
 static void end_call(Call *c)
 {
     Load *l = c->load;
-    c->fate.at_s = (double)(now_us() - l->start_us) / WP_US_PER_S;
-    g_array_append_val(l->r.fates, c->fate);
+    c->outcome.at_s = (double)(now_us() - l->start_us) / WP_US_PER_S;
+    g_array_append_val(l->r.outcomes, c->outcome);
     l->r.ended++;
-    l->open--;
+    l->in_flight--;
     free_call(c);
 }
 
@@ -422,26 +425,27 @@
     if (!status) {
         c->load->r.no_answer++;
         if (c->session)
-            c->session->busy = false;
-        /* evhttp still works on the connection: it is freed at the end. */
+            c->session->in_flight = false;
+        /* evhttp still uses the connection here, so it is freed later. */
         g_queue_push_head(&c->target->failed, con);
     } else {
         const char *id = wp_http_header(r, WP_H_REQUEST_ID);
         const char *ran = wp_http_header(r, WP_H_RAN);
-        g_strlcpy(c->fate.request_id, id ? id : "", sizeof(c->fate.request_id));
-        g_strlcpy(c->fate.ran, ran ? ran : "", sizeof(c->fate.ran));
+        g_strlcpy(c->outcome.request_id, id ? id : "",
+                  sizeof(c->outcome.request_id));
+        g_strlcpy(c->outcome.ran, ran ? ran : "", sizeof(c->outcome.ran));
         on_chunk(r, c);
         if (status == 200)
-            judge_ok(c, r);
+            check_answer(c, r);
         else
-            judge_refusal(c, r);
+            check_refusal(c, r);
         g_queue_push_head(&c->target->idle, con);
     }
-    if (!repeat(c))
+    if (!retry(c))
         end_call(c);
 }
 
-static struct evhttp_connection *take_con(Load *l, Target *t)
+static struct evhttp_connection *take_connection(Load *l, Target *t)
 {
     struct evhttp_connection *con = g_queue_pop_head(&t->idle);
     if (con)
@@ -461,11 +465,11 @@
     evhttp_add_header(h, WP_H_KIND, c->item->kind);
     evhttp_add_header(h, WP_H_DEADLINE, deadline);
     evhttp_add_header(h, "Content-Type", "application/json");
-    if (c->once)
-        evhttp_add_header(h, WP_H_IDEMPOTENCY_KEY, c->once);
-    if (c->session && c->session->by_token && c->session->token)
+    if (c->idempotency_key)
+        evhttp_add_header(h, WP_H_IDEMPOTENCY_KEY, c->idempotency_key);
+    if (c->session && c->session->uses_token && c->session->token)
         evhttp_add_header(h, WP_H_SESSION_TOKEN, c->session->token);
-    else if (c->session && !c->session->by_token)
+    else if (c->session && !c->session->uses_token)
         evhttp_add_header(h, WP_H_SESSION, c->session->id);
 }
 
@@ -476,7 +480,7 @@
         return i->answer_tokens;
     double u = g_rand_double(c->load->rand);
     double x = pow(1 - u, -1 / TAIL_SHAPE) / 3;
-    return (unsigned)MAX(2, i->answer_tokens * MIN(x, TAIL_MOST));
+    return (unsigned)MAX(2, i->answer_tokens * MIN(x, TAIL_MAX));
 }
 
 static void add_body(const Call *c, struct evhttp_request *r)
@@ -510,7 +514,7 @@
     add_headers(c, r);
     add_body(c, r);
     c->start_us = now_us();
-    c->con = take_con(c->load, c->target);
+    c->con = take_connection(c->load, c->target);
     evhttp_make_request(c->con, r, EVHTTP_REQ_POST, path);
 }
 
@@ -528,42 +532,45 @@
     return l->mix->n_items - 1;
 }
 
-/* A session takes its turns one after another. */
+/* Picks a session of the item that has no request in flight; NULL if the tries
+   find none. */
 static Session *pick_session(Load *l, size_t item)
 {
     uint32_t n = l->mix->items[item]->sessions;
     for (uint32_t i = 0; i < n; i++) {
         Session *s = &l->sessions[item][g_rand_int_range(l->rand, 0, (gint)n)];
-        if (s->busy)
+        if (s->in_flight)
             continue;
-        s->busy = true;
+        s->in_flight = true;
         return s;
     }
     return NULL;
 }
 
+/* Sets a prompt that is unique in this run, and its digest. */
 static void make_prompt(Call *c)
 {
     GString *s = g_string_new(NULL);
     g_string_append_printf(s, "question %lu-%lu",
                            (unsigned long)c->load->mix->seed,
-                           (unsigned long)c->load->serial++);
+                           (unsigned long)c->load->next_prompt++);
     for (uint32_t i = 0; i < c->item->prompt_words; i++)
         g_string_append(s, " word");
     c->prompt = g_string_free(s, FALSE);
     g_autofree char *sum =
         g_compute_checksum_for_string(G_CHECKSUM_SHA256, c->prompt, -1);
-    g_strlcpy(c->fate.digest, sum, 17);
+    g_strlcpy(c->outcome.digest, sum, 17);
 }
 
-/* Like the platform's balancer: any entry that says it is well. */
+/* Picks a random healthy entry, like the platform's load balancer; any entry
+   if none is healthy. */
 static Target *pick_target(Load *l)
 {
     gint n = (gint)l->n_targets;
     gint start = g_rand_int_range(l->rand, 0, n);
     for (gint i = 0; i < n; i++) {
         Target *t = &l->targets[(start + i) % n];
-        if (t->well)
+        if (t->healthy)
             return t;
     }
     return &l->targets[start];
@@ -581,19 +588,20 @@
     c->raw = g_string_new(NULL);
     make_prompt(c);
     if (c->item->once) {
-        c->once = g_malloc(37);
-        wp_uuid7(c->once, (uint64_t)(g_get_real_time() / WP_US_PER_MS),
-                 l->rand);
-        c->fate.once = true;
+        c->idempotency_key = g_malloc(37);
+        wp_uuid7(c->idempotency_key,
+                 (uint64_t)(g_get_real_time() / WP_US_PER_MS), l->rand);
+        c->outcome.has_idempotency_key = true;
     }
     l->r.sent++;
-    l->open++;
-    ++*need_count(l->offered, c->item->workspace);
+    l->in_flight++;
+    ++*counter(l->offered, c->item->workspace);
     send_call(c);
 }
 
 /* --- arrivals --- */
 
+/* Arrival rate `s` seconds after the start, in requests per second. */
 static double rate_at(const Load *l, double s)
 {
     double rate = l->mix->rate;
@@ -642,7 +650,7 @@
 
 bool load_done(const Load *l)
 {
-    return l->stopped && !l->open;
+    return l->stopped && !l->in_flight;
 }
 
 const LoadResult *load_result(const Load *l)
--- a/tools/load_int.h
+++ b/tools/load_int.h
@@ -1,23 +1,26 @@
-/* The insides of Load, for its two halves: sending and summing up. */
+/* Internals of Load, shared by load.c (sending) and load_sums.c
+ * (statistics). */
 #ifndef LOAD_INT_H
 #define LOAD_INT_H
 
 #include "load.h"
 
+/* A session; its turns are sent one after another. */
 typedef struct Session {
     char id[40];
     char *token, *version;
     unsigned turns;
-    bool by_token, busy;
+    bool uses_token, in_flight;
 } Session;
 
+/* An entry that requests are sent to. */
 typedef struct Target {
     char *host;
     uint16_t port;
-    GQueue idle;    /* of evhttp_connection */
-    GQueue failed;  /* the same, not to be used again */
-    WPHttp *health; /* as the platform's balancer asks */
-    bool well, asking;
+    GQueue idle;    /* evhttp_connection, ready for use */
+    GQueue failed;  /* evhttp_connection that failed; freed with the load */
+    WPHttp *health; /* health checks, as the platform's balancer makes */
+    bool healthy, check_pending;
 } Target;
 
 struct Load {
@@ -30,9 +33,9 @@
     GRand *rand;
     struct event *timer, *health;
     int64_t start_us, next_us;
-    uint64_t serial, open;
+    uint64_t next_prompt, in_flight;
     bool stopped;
-    Session **sessions; /* by item */
+    Session **sessions; /* by index of the mix item */
     GPtrArray *prefixes;
     LoadResult r;
 };
--- a/tools/load_sums.c
+++ b/tools/load_sums.c
@@ -1,4 +1,4 @@
-/* Sums of a load, as text and as JSON. */
+/* Results of a load as text and as JSON. */
 #include "load_int.h"
 
 #include <stdio.h>
@@ -58,13 +58,13 @@
         "{s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:f,s:f}", "sent",
         (json_int_t)r->sent, "ok", (json_int_t)r->ok, "not_run",
         (json_int_t)r->not_run, "unknown", (json_int_t)r->unknown, "no_answer",
-        (json_int_t)r->no_answer, "cut", (json_int_t)r->cut, "wrong",
+        (json_int_t)r->no_answer, "cut", (json_int_t)r->aborted, "wrong",
         (json_int_t)r->wrong, "session_breaks", (json_int_t)r->session_breaks,
         "session_moves", (json_int_t)r->session_moves, "cost", r->cost,
         "fairness", load_fairness(l));
     json_object_set_new(o, "first_ms", latency_json(r->first_ms));
-    json_object_set_new(o, "between_ms", latency_json(r->between_ms));
-    json_object_set_new(o, "whole_ms", latency_json(r->whole_ms));
+    json_object_set_new(o, "between_ms", latency_json(r->event_gap_ms));
+    json_object_set_new(o, "whole_ms", latency_json(r->complete_ms));
     json_object_set_new(o, "codes", counts_json(r->codes));
     json_object_set_new(o, "versions", counts_json(r->versions));
     json_object_set_new(o, "quality", quality_json(l));
@@ -89,19 +89,19 @@
 void load_print(const Load *l)
 {
     const LoadResult *r = &l->r;
-    printf("sent %lu, answered whole %lu, not run %lu, unknown %lu, no answer "
-           "%lu, cut %lu, wrong %lu\n",
+    printf("sent %lu, complete %lu, not run %lu, unknown %lu, no answer "
+           "%lu, incomplete %lu, wrong %lu\n",
            (unsigned long)r->sent, (unsigned long)r->ok,
            (unsigned long)r->not_run, (unsigned long)r->unknown,
-           (unsigned long)r->no_answer, (unsigned long)r->cut,
+           (unsigned long)r->no_answer, (unsigned long)r->aborted,
            (unsigned long)r->wrong);
     print_counts("first token (ms)   ", latency_json(r->first_ms));
-    print_counts("between tokens (ms)", latency_json(r->between_ms));
-    print_counts("whole answer (ms)  ", latency_json(r->whole_ms));
+    print_counts("between tokens (ms)", latency_json(r->event_gap_ms));
+    print_counts("answer time (ms)   ", latency_json(r->complete_ms));
     print_counts("refusals by code   ", counts_json(r->codes));
     print_counts("answers by version ", counts_json(r->versions));
     print_counts("quality by kind    ", quality_json(l));
     printf("cost                 %.4f\n", r->cost);
-    printf("sessions             %lu breaks, %lu moves that were said\n",
+    printf("sessions             %lu breaks, %lu announced moves\n",
            (unsigned long)r->session_breaks, (unsigned long)r->session_moves);
 }
--- a/tools/ports.c
+++ b/tools/ports.c
@@ -1,4 +1,4 @@
-/* Blocks of ports. */
+/* Reserves blocks of ports. */
 #include "ports.h"
 
 #include <arpa/inet.h>
--- a/tools/ports.h
+++ b/tools/ports.h
@@ -1,20 +1,24 @@
 /* Ports of 127.0.0.1 for processes that a test starts. Blocks lie below the
- * ports that the system gives to outgoing connections; whoever holds a block
- * keeps its first port bound, so that tests running side by side keep apart. */
+ * ephemeral ports of outgoing connections. The first port of a block stays
+ * bound while the block is in use, so that tests that run in parallel use
+ * different blocks. */
 #ifndef PORTS_H
 #define PORTS_H
 
 #include <stdint.h>
 
 typedef struct Ports {
-    int lock;      /* socket that holds the block */
-    uint16_t next; /* of the block */
+    int lock;      /* socket bound to the first port of the block */
+    uint16_t next; /* the last port handed out */
 } Ports;
 
+/* Reserves a random free block. */
 void ports_init(Ports *p);
+
+/* Releases the block. */
 void ports_end(Ports *p);
 
-/* The next port of the block that nobody is listening on. */
+/* The next port of the block that no other socket is bound to. */
 uint16_t ports_next(Ports *p);
 
 #endif
--- a/tools/sample.h
+++ b/tools/sample.h
@@ -4,7 +4,8 @@
 
 #include <glib.h>
 
-/* Of an array of double, which it sorts; 0 when empty. */
+/* The quantile `q` (0 to 1) of an array of double, which this sorts; 0 if it
+   is empty. */
 double sample_quantile(GArray *sample, double q);
 
 #endif
