--- a/tools/site.c
+++ b/tools/site.c
@@ -1,4 +1,4 @@
-/* Starts, feeds and stops the processes of a site. */
+/* Configures, starts and stops the processes of a site. */
 #include "site.h"
 #include "wp_pb.h"
 
@@ -34,8 +34,8 @@
     g_string_free(text, TRUE);
 }
 
-static void add_stand(Site *s, const char *name, const char *kind,
-                      const char *more)
+static void add_stand_in(Site *s, const char *name, const char *kind,
+                         const char *more)
 {
     Proc *p = add_proc(s, name, "wpstand");
     GString *t = g_string_new(NULL);
@@ -44,9 +44,9 @@
     write_config(p, t);
 }
 
-/* The part of a plan's node line that is for this process, or NULL; "NAME|"
-   before a line makes it for one process only. */
-static const char *line_for(const Proc *p, const char *line)
+/* The setting in a node line of the plan if it applies to this process, else
+   NULL. The prefix "NAME|" limits a line to one process. */
+static const char *line_for_process(const Proc *p, const char *line)
 {
     const char *bar = strchr(line, '|');
     size_t n = bar ? (size_t)(bar - line) : 0;
@@ -55,12 +55,13 @@
     return strlen(p->name) == n && !strncmp(p->name, line, n) ? bar + 1 : NULL;
 }
 
-/* Adds "key: value" unless the plan says it otherwise. */
+/* Adds the line "key: value" unless the plan sets the same key for this
+   process. */
 static void add_line(Site *s, const Proc *p, GString *t, const char *line)
 {
     size_t key = strcspn(line, ":");
     for (size_t i = 0; i < s->plan->n_node; i++) {
-        const char *own = line_for(p, s->plan->node[i]);
+        const char *own = line_for_process(p, s->plan->node[i]);
         if (own && !strncmp(own, line, key + 1))
             return;
     }
@@ -69,7 +70,7 @@
 
 static void add_node_lines(Site *s, const Proc *p, unsigned zone, GString *t)
 {
-    static const char *const quick[] = {
+    static const char *const fast_settings[] = {
         "gossip_ms: 100",     "heartbeat_ms: 100",  "dead_ms: 1000",
         "boxes_poll_ms: 200", "bill_batch_ms: 200", "once_settle_ms: 500",
         "once_skew_ms: 100",  "test_hooks: true",
@@ -82,15 +83,15 @@
         p->name, zone, p->peer_port, p->admin_port, site_proc(s, "kv")->port,
         site_proc(s, "boxes")->port, site_proc(s, "ratings")->port,
         (unsigned long)s->plan->seed * 100 + s->procs->len);
-    for (size_t i = 0; i < WP_COUNT(quick); i++)
-        add_line(s, p, t, quick[i]);
+    for (size_t i = 0; i < WP_COUNT(fast_settings); i++)
+        add_line(s, p, t, fast_settings[i]);
     for (size_t i = 0; i < s->plan->n_node; i++) {
-        const char *own = line_for(p, s->plan->node[i]);
+        const char *own = line_for_process(p, s->plan->node[i]);
         if (own)
             g_string_append_printf(t, "  %s\n", own);
     }
-    if (s->off)
-        g_string_append_printf(t, "  test_off: [%s]\n", s->off);
+    if (s->disabled_guard)
+        g_string_append_printf(t, "  test_off: [%s]\n", s->disabled_guard);
 }
 
 static void add_entry(Site *s, unsigned i)
@@ -103,7 +104,8 @@
     write_config(p, t);
 }
 
-/* Every model version and every plain service that the rules name. */
+/* Comma-separated names of the versions of plain services in the rules, or of
+   the model versions. The caller frees the text. */
 static char *list_versions(const Wp__Scenario *plan, bool services)
 {
     GString *t = g_string_new(NULL);
@@ -129,7 +131,7 @@
     g_autofree char *more = g_strdup_printf("slots: %u\nstep_us: %u\n",
                                             s->plan->slots, s->plan->step_us);
     g_autofree char *versions = list_versions(s->plan, service);
-    add_stand(s, stand, service ? "service" : "engine", more);
+    add_stand_in(s, stand, service ? "service" : "engine", more);
     Proc *p = add_proc(s, name, "wpagent");
     GString *t = g_string_new(NULL);
     add_node_lines(s, p, i % 3 + 1, t);
@@ -140,22 +142,23 @@
     write_config(p, t);
 }
 
-Site *site_new(const Wp__Scenario *plan, const char *bin, const char *off)
+Site *site_new(const Wp__Scenario *plan, const char *bin,
+               const char *disabled_guard)
 {
     Site *s = g_new0(Site, 1);
     g_autofree char *lag = g_strdup_printf("lag_ms: %u\n", plan->boxes_lag_ms);
     s->base = event_base_new();
     s->plan = plan;
-    s->off = off;
+    s->disabled_guard = disabled_guard;
     s->bin = g_strdup(bin);
     s->folder = g_dir_make_tmp("wpsite-XXXXXX", NULL);
     s->procs = g_ptr_array_new();
     ports_init(&s->ports);
     s->marks = g_array_new(FALSE, TRUE, sizeof(Mark));
-    s->why = g_string_new(NULL);
-    add_stand(s, "kv", "kv", "");
-    add_stand(s, "boxes", "boxes", lag);
-    add_stand(s, "ratings", "ratings", "");
+    s->error_text = g_string_new(NULL);
+    add_stand_in(s, "kv", "kv", "");
+    add_stand_in(s, "boxes", "boxes", lag);
+    add_stand_in(s, "ratings", "ratings", "");
     for (unsigned i = 0; i < plan->entries; i++)
         add_entry(s, i);
     for (unsigned i = 0; i < plan->agents; i++)
@@ -170,12 +173,13 @@
         if (name && !strcmp(p->name, name))
             return p;
     }
-    g_string_append_printf(s->why, "no process %s; ", name ? name : "?");
+    g_string_append_printf(s->error_text, "no process %s; ", name ? name : "?");
     return NULL;
 }
 
-/* A killed runner leaves nothing behind. */
-static void die_with_parent(gpointer arg)
+/* Has the kernel kill the child when the test runner dies, so that none is
+   left. */
+static void kill_with_parent(gpointer arg)
 {
     (void)arg;
     prctl(PR_SET_PDEATHSIG, SIGKILL);
@@ -189,12 +193,13 @@
     GError *error = NULL;
     FILE *f = fopen(log, "a");
     p->running = g_spawn_async_with_fds(
-        NULL, argv, NULL, G_SPAWN_DO_NOT_REAP_CHILD, die_with_parent, NULL,
+        NULL, argv, NULL, G_SPAWN_DO_NOT_REAP_CHILD, kill_with_parent, NULL,
         &p->pid, -1, fileno(f), fileno(f), &error);
     fclose(f);
     p->frozen = false;
     if (!p->running)
-        g_string_append_printf(s->why, "%s: %s; ", p->name, error->message);
+        g_string_append_printf(s->error_text, "%s: %s; ", p->name,
+                               error->message);
     g_clear_error(&error);
     return p->running;
 }
@@ -211,14 +216,14 @@
     }
 }
 
-bool site_ended(Proc *p)
+bool site_process_exited(Proc *p)
 {
     if (p->running && waitpid(p->pid, NULL, WNOHANG) == p->pid)
         p->running = false;
     return !p->running;
 }
 
-void site_pump(Site *s, int ms)
+void site_run_loop(Site *s, int ms)
 {
     struct timeval after = { ms / 1000, ms % 1000 * 1000 };
     event_base_loopexit(s->base, &after);
@@ -264,13 +269,13 @@
     return j;
 }
 
-char *site_text(Site *s, uint16_t port, const char *path)
+char *site_fetch_text(Site *s, uint16_t port, const char *path)
 {
     GString *t = fetch(s, port, path, NULL);
     return t ? g_string_free(t, FALSE) : NULL;
 }
 
-void site_box(Site *s, const Proc *p, const char *state)
+void site_announce_box(Site *s, const Proc *p, const char *state)
 {
     g_autofree char *body = g_strdup_printf(
         "{\"id\":\"%s\",\"addr\":\"127.0.0.1\",\"port\":%u,\"state\":\"%s\"}",
@@ -290,7 +295,7 @@
     return argv;
 }
 
-GPid site_ctl_begin(Site *s, const char *words)
+GPid site_ctl_start(Site *s, const char *words)
 {
     g_auto(GStrv) argv = ctl_argv(s, words);
     g_autofree char *log = g_strdup_printf("%s/ctl.log", s->folder);
@@ -302,12 +307,12 @@
     return pid;
 }
 
-/* The load goes on while the tool runs. */
-int site_ctl_end(Site *s, GPid pid)
+/* The load generator keeps running meanwhile. */
+int site_ctl_wait(Site *s, GPid pid)
 {
     int status = -1;
     while (pid && waitpid(pid, &status, WNOHANG) == 0)
-        site_pump(s, 5);
+        site_run_loop(s, 5);
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
 
@@ -315,7 +320,7 @@
 {
     g_autofree char *log = g_strdup_printf("%s/ctl.log", s->folder);
     unlink(log);
-    int code = site_ctl_end(s, site_ctl_begin(s, words));
+    int code = site_ctl_wait(s, site_ctl_start(s, words));
     if (output)
         g_file_get_contents(log, output, NULL, NULL);
     return code;
@@ -338,13 +343,13 @@
     return true;
 }
 
-static bool wait_for(Site *s, bool (*test)(Site *), double seconds)
+static bool wait_until(Site *s, bool (*test)(Site *), double seconds)
 {
     int64_t until = g_get_monotonic_time() + (int64_t)(seconds * WP_US_PER_S);
     while (!test(s)) {
         if (g_get_monotonic_time() > until)
             return false;
-        site_pump(s, 20);
+        site_run_loop(s, 20);
     }
     return true;
 }
@@ -359,7 +364,7 @@
     return up;
 }
 
-bool site_up(Site *s)
+bool site_start_all(Site *s)
 {
     for (guint i = 0; i < s->procs->len; i++) {
         Proc *p = s->procs->pdata[i];
@@ -367,21 +372,21 @@
             return false;
     }
     g_autofree char *apply = g_strdup_printf("apply -f %s", s->plan->rules);
-    if (!wait_for(s, kv_up, 10) || site_ctl(s, apply, NULL) != 0) {
-        g_string_append(s->why, "the rules could not be applied; ");
+    if (!wait_until(s, kv_up, 10) || site_ctl(s, apply, NULL) != 0) {
+        g_string_append(s->error_text, "the rules could not be applied; ");
         return false;
     }
     for (guint i = 0; i < s->procs->len; i++) {
         Proc *p = s->procs->pdata[i];
         if (!strcmp(p->program, "wpstand"))
             continue;
-        site_box(s, p, "live");
+        site_announce_box(s, p, "live");
         if (!site_start(s, p))
             return false;
     }
-    if (wait_for(s, all_ready, 20))
+    if (wait_until(s, all_ready, 20))
         return true;
-    g_string_append(s->why, "not all processes became ready; ");
+    g_string_append(s->error_text, "not all processes became ready; ");
     return false;
 }
 
@@ -396,7 +401,7 @@
         s->mix = (Wp__Mix *)wp_yaml_read(&wp__mix__descriptor, wp_strn(text, n),
                                          file, &error);
     if (!s->mix) {
-        g_string_append_printf(s->why, "%s; ", error->message);
+        g_string_append_printf(s->error_text, "%s; ", error->message);
         g_clear_error(&error);
         return false;
     }
@@ -415,7 +420,7 @@
     return true;
 }
 
-char *site_complaint(Site *s)
+char *site_sanitizer_report(Site *s)
 {
     static const char *const words[] = { "AddressSanitizer", "LeakSanitizer",
                                          "runtime error", "CRITICAL" };
@@ -466,7 +471,7 @@
         remove_folder(s->folder);
     g_free(s->folder);
     g_free(s->bin);
-    g_string_free(s->why, TRUE);
+    g_string_free(s->error_text, TRUE);
     event_base_free(s->base);
     ports_end(&s->ports);
     g_free(s);
--- a/tools/wpdemo.c
+++ b/tools/wpdemo.c
@@ -1,5 +1,5 @@
-/* wpdemo: a whole site on loopback, with a withdrawal and a roll-out while
- * traffic flows, and an account of what happened. */
+/* wpdemo: runs a whole site on loopback, withdraws one version and rolls out
+ * another under traffic, and prints a summary. */
 #include "site.h"
 
 #include <stdio.h>
@@ -12,7 +12,7 @@
     printf("\n== %s\n", text);
 }
 
-/* Shows an operator's command and what it said. */
+/* Runs a wpctl command, prints it with its output and returns its exit code. */
 static int show(Site *s, const char *words)
 {
     g_autofree char *out = NULL;
@@ -24,9 +24,10 @@
 
 static void run_for(Site *s, double seconds)
 {
-    site_pump(s, (int)(seconds * WP_MS_PER_S));
+    site_run_loop(s, (int)(seconds * WP_MS_PER_S));
 }
 
+/* Number of the version's runs in the engines' ledgers after this time. */
 static unsigned runs_after(Site *s, const char *version, int64_t wall_ms)
 {
     unsigned n = 0;
@@ -55,7 +56,7 @@
 
 static void roll_out(Site *s)
 {
-    title("Another is rolled out: canary, half, full, done");
+    title("Another version is rolled out: canary, half, full, done");
     show(s, "selector lake-next --traffic org=lakeshore,care!=high "
             "--versions stage=next");
     show(s, "rollout start tagger-3 --from tagger-1 --to tagger-3 --wait");
@@ -67,50 +68,50 @@
 
 static void one_request(Site *s)
 {
-    const GArray *fates = load_result(s->load)->fates;
+    const GArray *fates = load_result(s->load)->outcomes;
     for (guint i = fates->len; i-- > 0;) {
-        const LoadFate *f = &g_array_index(fates, LoadFate, i);
+        const LoadOutcome *f = &g_array_index(fates, LoadOutcome, i);
         if (!f->ok || !f->request_id[0])
             continue;
         g_autofree char *words =
             g_strdup_printf("timeline --request %s", f->request_id);
-        title("One request, over all processes");
+        title("Timeline of one request over all processes");
         show(s, words);
         return;
     }
 }
 
-static bool account(Site *s, int64_t withdrawn_ms)
+static bool print_summary(Site *s, int64_t withdrawn_ms)
 {
     const LoadResult *r = load_result(s->load);
     unsigned after = runs_after(s, "tagger-2", withdrawn_ms);
-    title("The account");
+    title("Summary");
     load_print(s->load);
-    printf("runs of tagger-2 after its withdrawal was in force: %u\n", after);
+    printf("runs of tagger-2 after its withdrawal took effect: %u\n", after);
     show(s, "bills");
-    return !after && !r->wrong && !r->cut && !r->session_breaks &&
+    return !after && !r->wrong && !r->aborted && !r->session_breaks &&
            r->ok == r->sent;
 }
 
-static bool play(Site *s)
+static bool run_demo(Site *s)
 {
-    if (!site_up(s))
+    if (!site_start_all(s))
         return false;
     title("Three entries and six agents are up");
     show(s, "status");
-    run_for(s, 1); /* keys that may not be repeated settle */
+    run_for(s, 1); /* until idempotency keys are accepted (once_settle_ms) */
     if (!site_load(s, "examples/demo/mix.yaml", LOAD_S, 0))
         return false;
     run_for(s, 2);
-    title("Why a plan of lake-north goes where it goes");
+    title("Why a plan request of lake-north is routed as it is");
     show(s, "why --workspace lake-north --kind plan");
     int64_t withdrawn_ms = withdraw(s);
     roll_out(s);
     while (!load_done(s->load))
         run_for(s, 0.05);
     one_request(s);
-    run_for(s, 0.5); /* the last bills settle */
-    return account(s, withdrawn_ms);
+    run_for(s, 0.5); /* so that the last bills are settled */
+    return print_summary(s, withdrawn_ms);
 }
 
 int main(void)
@@ -125,11 +126,11 @@
     plan.node = lines;
     setvbuf(stdout, NULL, _IOLBF, 0);
     Site *s = site_new(&plan, bin, NULL);
-    bool ok = play(s);
-    if (s->why->len)
-        printf("%s\n", s->why->str);
-    printf("\n%s\n", ok ? "demo: every request was answered whole"
-                        : "demo: something went wrong");
+    bool ok = run_demo(s);
+    if (s->error_text->len)
+        printf("%s\n", s->error_text->str);
+    printf("\n%s\n",
+           ok ? "demo: every request got a complete answer" : "demo: failed");
     site_free(s);
     return ok ? 0 : 1;
 }
--- a/tools/wpload.c
+++ b/tools/wpload.c
@@ -1,4 +1,5 @@
-/* wpload: the load and experiment tool. */
+/* wpload: generates load against entries, and compares the results of two
+ * runs. */
 #include "daemon.h"
 #include "load.h"
 
@@ -102,10 +103,10 @@
         load_print(l);
     }
     const LoadResult *r = load_result(l);
-    bool sound = !r->wrong && !r->cut && !r->session_breaks;
+    bool valid = !r->wrong && !r->aborted && !r->session_breaks;
     load_free(l);
     event_base_free(base);
-    return sound ? EXIT_OK : 1;
+    return valid ? EXIT_OK : 1;
 }
 
 int main(int argc, char **argv)
@@ -118,16 +119,20 @@
     GError *error = NULL;
     const GOptionEntry options[] = {
         { "mix", 'm', 0, G_OPTION_ARG_FILENAME, &mix_file,
-          "what to send (YAML)", "FILE" },
+          "YAML file that describes the requests", "FILE" },
         { "entry", 'e', 0, G_OPTION_ARG_STRING_ARRAY, &entries,
-          "an entry's address; may be given again", "HOST:PORT" },
+          "address of an entry; may be repeated", "HOST:PORT" },
         { "ratings", 0, 0, G_OPTION_ARG_STRING, &ratings,
-          "the rating service, to be told how answers were", "HOST:PORT" },
+          "address of the rating service, which gets scores of answers",
+          "HOST:PORT" },
         { "rules", 0, 0, G_OPTION_ARG_FILENAME_ARRAY, &rules,
           "rules file with the versions' costs", "FILE" },
-        { "rate", 0, 0, G_OPTION_ARG_DOUBLE, &rate, "requests a second", "N" },
-        { "seconds", 0, 0, G_OPTION_ARG_DOUBLE, &seconds, "how long", "S" },
-        { "seed", 0, 0, G_OPTION_ARG_INT, &seed, "of the arrivals", "N" },
+        { "rate", 0, 0, G_OPTION_ARG_DOUBLE, &rate, "requests per second",
+          "N" },
+        { "seconds", 0, 0, G_OPTION_ARG_DOUBLE, &seconds, "duration in seconds",
+          "S" },
+        { "seed", 0, 0, G_OPTION_ARG_INT, &seed, "seed of the arrival times",
+          "N" },
         { "output", 'o', 0, G_OPTION_ARG_STRING, &output, "text or json",
           "FORM" },
         { "compare", 0, 0, G_OPTION_ARG_NONE, &diff,
@@ -137,8 +142,8 @@
     g_autoptr(GOptionContext) c = g_option_context_new("[FILE FILE]");
     g_option_context_set_summary(
         c, "Sends an open-loop mix of requests and checks every answer.\n"
-           "Exit codes: 0 all sound, 1 some answer was cut, wrong or of "
-           "another version, 2 bad input.");
+           "Exit codes: 0 all answers valid, 1 an answer was incomplete, "
+           "wrong or of an unannounced version, 2 bad input.");
     g_option_context_add_main_entries(c, options, NULL);
     signal(SIGPIPE, SIG_IGN);
     if (!g_option_context_parse(c, &argc, &argv, &error))
--- a/tools/wpproxy.c
+++ b/tools/wpproxy.c
@@ -1,8 +1,11 @@
-/* wpproxy: a loopback connection that misbehaves on demand. Bytes pass between
- * --listen and --to as the mode on --control says:
- *   pass; silent: nothing passes, nothing is closed; in, out: only towards
- *   the callers, or only away from them; reset: all connections end with a
- *   reset and so does each new one. delay_ms holds each piece back. */
+/* wpproxy: a TCP proxy on loopback that injects network faults. It forwards
+ * bytes between the ports --listen and --to, in the mode that is set with a
+ * POST to the port --control:
+ *   pass: forwards everything;
+ *   silent: forwards nothing and closes nothing;
+ *   in, out: forwards only towards the callers, or only away from them;
+ *   reset: resets all connections, and each new one.
+ * delay_ms delays each piece of data. */
 #include "wp_http.h"
 
 #include <event2/buffer.h>
@@ -29,7 +32,7 @@
 typedef struct Pair {
     WPList node;
     Proxy *proxy;
-    struct bufferevent *side[2]; /* the caller's, the far one */
+    struct bufferevent *side[2]; /* the caller's side, the target's side */
 } Pair;
 
 static struct sockaddr_in loopback(int port)
@@ -59,19 +62,19 @@
            (x->mode == IN && from == 1);
 }
 
-static void move(Pair *p, int from)
+static void forward(Pair *p, int from)
 {
     struct evbuffer *in = bufferevent_get_input(p->side[from]);
     if (passes(p->proxy, from))
         bufferevent_write_buffer(p->side[1 - from], in);
 }
 
-typedef struct Later {
+typedef struct PendingRead {
     Pair *pair;
     int from;
-} Later;
+} PendingRead;
 
-static bool is_there(const Proxy *x, const Pair *p)
+static bool pair_exists(const Proxy *x, const Pair *p)
 {
     wp_list_each (it, &x->pairs)
         if (wp_list_item(it, Pair, node) == p)
@@ -79,18 +82,18 @@
     return false;
 }
 
-typedef struct Delayed {
+typedef struct DelayedRead {
     Proxy *proxy;
-    Later what;
-} Delayed;
+    PendingRead what;
+} DelayedRead;
 
 static void on_delay(evutil_socket_t fd, short what, void *arg)
 {
-    Delayed *d = arg;
+    DelayedRead *d = arg;
     (void)fd;
     (void)what;
-    if (is_there(d->proxy, d->what.pair))
-        move(d->what.pair, d->what.from);
+    if (pair_exists(d->proxy, d->what.pair))
+        forward(d->what.pair, d->what.from);
     g_free(d);
 }
 
@@ -101,11 +104,11 @@
     int from = bev == p->side[1];
     struct timeval at = { 0, (suseconds_t)(x->delay_ms * WP_US_PER_MS) };
     if (x->delay_ms <= 0) {
-        move(p, from);
+        forward(p, from);
         return;
     }
-    Delayed *d = g_new0(Delayed, 1);
-    *d = (Delayed){ x, { p, from } };
+    DelayedRead *d = g_new0(DelayedRead, 1);
+    *d = (DelayedRead){ x, { p, from } };
     event_base_once(x->base, -1, EV_TIMEOUT, on_delay, d, &at);
 }
 
@@ -116,8 +119,8 @@
     if (!(what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)))
         return;
     if (!passes(p->proxy, from))
-        return; /* the end is kept back like all else */
-    move(p, from);
+        return; /* the end of the stream is withheld like data */
+    forward(p, from);
     bufferevent_flush(p->side[1 - from], EV_WRITE, BEV_FINISHED);
     free_pair(p, what & BEV_EVENT_ERROR);
 }
@@ -155,8 +158,8 @@
             free_pair(p, true);
             continue;
         }
-        move(p, 0);
-        move(p, 1);
+        forward(p, 0);
+        forward(p, 1);
     }
 }
 
@@ -179,16 +182,18 @@
 {
     int listen = 0, to = 0, control = 0;
     const GOptionEntry options[] = {
-        { "listen", 0, 0, G_OPTION_ARG_INT, &listen, "port", "PORT" },
-        { "to", 0, 0, G_OPTION_ARG_INT, &to, "port", "PORT" },
-        { "control", 0, 0, G_OPTION_ARG_INT, &control, "port", "PORT" },
+        { "listen", 0, 0, G_OPTION_ARG_INT, &listen, "port to listen on",
+          "PORT" },
+        { "to", 0, 0, G_OPTION_ARG_INT, &to, "port to connect to", "PORT" },
+        { "control", 0, 0, G_OPTION_ARG_INT, &control,
+          "port of the control path", "PORT" },
         { NULL, 0, 0, 0, NULL, NULL, NULL }
     };
     g_autoptr(GOptionContext) c = g_option_context_new(NULL);
     g_option_context_add_main_entries(c, options, NULL);
     if (!g_option_context_parse(c, &argc, &argv, NULL) || !listen || !to ||
         !control) {
-        fprintf(stderr, "wpproxy: --listen, --to and --control are needed\n");
+        fprintf(stderr, "wpproxy: --listen, --to and --control are required\n");
         return 2;
     }
     prctl(PR_SET_PDEATHSIG, SIGKILL);
