--- a/examples/client/chat.mjs
+++ b/examples/client/chat.mjs
@@ -1,5 +1,6 @@
-// Lists what the workspace may name, asks plainly and as a stream, and shows
-// the shape of an error.
+// Lists the models that the workspace may use, requests one complete and one
+// streamed answer, and prints the fields of an error.
+// Usage: chat.mjs BASE_URL API_KEY
 import OpenAI from 'openai';
 
 const [baseURL, apiKey] = process.argv.slice(2);
@@ -24,9 +25,9 @@
   messages: question,
 });
 let text = '';
-for await (const piece of stream) {
-  text += piece.choices[0]?.delta.content ?? '';
-  if (piece.usage) console.log('usage:', piece.usage);
+for await (const chunk of stream) {
+  text += chunk.choices[0]?.delta.content ?? '';
+  if (chunk.usage) console.log('usage:', chunk.usage);
 }
 console.log('stream:', text);
 
