--- a/io/wp_digest.c
+++ b/io/wp_digest.c
@@ -118,14 +118,14 @@
     size_t n = wp_fleet_take_unsent_prefixes(s->host->direct.fleet, updates,
                                              WP_DIGEST_PREFIXES_MAX);
     for (size_t i = 0; i < n; i++) {
-        s->kept_at[i] = updates[i].replica;
-        s->kept_prefix[i] = updates[i].key;
-        s->kept_tokens[i] = updates[i].tokens;
+        s->prefix_replicas[i] = updates[i].replica;
+        s->prefix_keys[i] = updates[i].key;
+        s->prefix_tokens[i] = updates[i].tokens;
     }
     d->n_kept_at = d->n_kept_prefix = d->n_kept_tokens = n;
-    d->kept_at = s->kept_at;
-    d->kept_prefix = s->kept_prefix;
-    d->kept_tokens = s->kept_tokens;
+    d->kept_at = s->prefix_replicas;
+    d->kept_prefix = s->prefix_keys;
+    d->kept_tokens = s->prefix_tokens;
 }
 
 static size_t fill_sessions(WPSync *s, WPTime now, WPSessionUpdate what,
--- a/io/wp_direct_int.h
+++ b/io/wp_direct_int.h
@@ -53,7 +53,8 @@
    while they are not. */
 void wp_relay_admit_held(WPDirectHost *h);
 
-/* Bytes of the answers that are being gathered as a whole. */
+/* Bytes of the answers that are buffered until they are complete, because the
+   flow decides on them only then. */
 uint64_t wp_relay_buffered_bytes(const WPDirectHost *h);
 
 /* Resumes reading answers that were paused because too many bytes were
@@ -105,6 +106,8 @@
 
 /* wp_direct_admin.c: the listeners for the readiness check and the metrics. */
 bool wp_direct_open_admin(WPDirectHost *h, GError **error);
+
+/* Closes the listeners that wp_direct_open_admin() has opened. */
 void wp_direct_close_admin(WPDirectHost *h);
 
 #endif
--- a/io/wp_downstream.h
+++ b/io/wp_downstream.h
@@ -99,9 +99,15 @@
 void wp_downstream_send_answer(WPDownstreamConn *p, int status, WPStr fields,
                                WPStr body);
 
-/* Begins an answer in chunked encoding, sends one chunk of it, and ends it. */
+/* Begins an answer in chunked encoding: sends its head. `fields`: as in
+   wp_downstream_send_answer(). */
 void wp_downstream_begin_chunked(WPDownstreamConn *p, int status, WPStr fields);
+
+/* Sends `n` bytes of a chunked answer as one chunk. */
 void wp_downstream_send_chunk(WPDownstreamConn *p, const void *data, size_t n);
+
+/* Ends a chunked answer: sends the last chunk, after which the answer is
+   complete. */
 void wp_downstream_end_chunked(WPDownstreamConn *p);
 
 /* Aborts a chunked answer: closes the connection without the last chunk, so
--- a/io/wp_fault.c
+++ b/io/wp_fault.c
@@ -62,14 +62,14 @@
         f->real->ops->txn(f->real, compares, n_compares, ops, n_ops, done, arg);
 }
 
-static void faulty_watch(WPKv *kv, const char *key, uint64_t from, bool look,
-                         WPKvWatchFn event, void *arg)
+static void faulty_watch(WPKv *kv, const char *key, uint64_t from,
+                         bool immediate, WPKvWatchFn event, void *arg)
 {
     Faulty *f = (Faulty *)kv;
     if (f->fault->store)
         event(arg, WP_KV_WATCH_LOST, NULL);
     else
-        f->real->ops->watch(f->real, key, from, look, event, arg);
+        f->real->ops->watch(f->real, key, from, immediate, event, arg);
 }
 
 static void faulty_unwatch(WPKv *kv)
--- a/io/wp_host.h
+++ b/io/wp_host.h
@@ -1,6 +1,6 @@
-/* The frame that all daemons share: event loop, node, links to other boxes,
- * clients of the platform's services, admin port and planned stop. The role
- * (entry or agent) plugs in through a table of callbacks. */
+/* The infrastructure that all daemons share: event loop, node, links to other
+ * boxes, clients of the platform's services, admin port and planned stop. The
+ * role (entry or agent) plugs in through a table of callbacks. */
 #ifndef WP_HOST_H
 #define WP_HOST_H
 
@@ -75,8 +75,8 @@
 /* Whether a planned stop has begun. */
 bool wp_host_is_draining(const WPHost *h);
 
-/* Whether it is in its first part, in which the health check fails but requests
-   are still served, as the load balancer may not have noticed yet. */
+/* Whether a planned stop is in its first part: the health check fails but
+   requests are still served, as the load balancer may not have noticed yet. */
 bool wp_host_lame_duck(const WPHost *h);
 
 /* Carries out the actions that the node has queued; to be called after each
--- a/io/wp_kv.h
+++ b/io/wp_kv.h
@@ -76,7 +76,9 @@
        or not there are changes. */
     void (*watch)(WPKv *kv, const char *key, uint64_t from, bool immediate,
                   WPKvWatchFn event, void *arg);
+    /* Ends the watch in progress, if there is one, without an event. */
     void (*unwatch)(WPKv *kv);
+    /* Frees the client. */
     void (*free)(WPKv *kv);
 } WPKvOps;
 
--- a/io/wp_notice_updates.c
+++ b/io/wp_notice_updates.c
@@ -54,6 +54,7 @@
     m->wire.n_leaving = m->wire.n_rests = 0;
 }
 
+/* Adds a rate limit to the Message `arg`, which is sent first if it is full. */
 static void add_limit(void *arg, const WPLimitUpdate *n)
 {
     Message *m = arg;
--- a/io/wp_notice_updates.h
+++ b/io/wp_notice_updates.h
@@ -9,6 +9,8 @@
 
 typedef struct WPNoticeUpdates WPNoticeUpdates;
 
+/* Creates the sender of these updates, which has sent none. `h` and `peers`
+   must outlive it. */
 WPNoticeUpdates *wp_notice_updates_new(WPDirectHost *h, WPPeers *peers);
 void wp_notice_updates_free(WPNoticeUpdates *n);
 
--- a/io/wp_peers.h
+++ b/io/wp_peers.h
@@ -21,11 +21,11 @@
     void (*delta)(void *arg, const char *from, const Wp__MirrorDelta *d);
     /* A delta could not be decompressed. */
     void (*bad_delta)(void *arg, const char *from);
-    /* A digest has arrived; a digest is to be filled with what else this box
-       sends. Memory that `fill_digest` makes the digest point to must
-       outlive the call. */
+    /* A digest has arrived. */
     void (*digest_received)(void *arg, const char *from,
                             const Wp__MirrorDigest *d);
+    /* A digest is about to be sent: adds what else this box sends. Memory that
+       the digest is made to point to must outlive the call. */
     void (*fill_digest)(void *arg, Wp__MirrorDigest *d);
     /* A peer was connected (`up`) or lost. */
     void (*peer_changed)(void *arg, const char *peer, bool up);
@@ -149,7 +149,8 @@
 /* Calls `fn` for each other known box, linked or not. */
 void wp_peers_each_member(WPPeers *p, WPPeersEachFn fn, void *arg);
 
-/* Returns a number that increases whenever the set of known boxes changes. */
+/* Returns a number that increases whenever another box becomes known, linked or
+   not, or the address or zone of a known one changes. */
 uint32_t wp_peers_generation(const WPPeers *p);
 
 /* Returns the bytes sent to and received from other boxes. */
--- a/io/wp_platform.h
+++ b/io/wp_platform.h
@@ -75,10 +75,15 @@
     void (*decode_store_entry)(const WPKvItem *item, WPStoreEntry *out);
     void (*release_store_entry)(WPStoreEntry *n);
 
-    /* The keys of a service's shift order and of the outcome of its shift, and
-       the value of the outcome; free with g_free(). */
+    /* Returns the key of a service's shift order; free with g_free(). */
     char *(*order_key)(const char *service);
+
+    /* Returns the key of the outcome of a service's shift; free with
+       g_free(). */
     char *(*outcome_key)(const char *service);
+
+    /* Returns the value of the outcome's entry for a shift in `state`; free
+       with g_free(). */
     char *(*outcome_text)(const WPShift *sh, WPShiftState state);
 
     /* Decodes the head of a caller's request. Returns NULL, or the reason why
--- a/io/wp_relay.c
+++ b/io/wp_relay.c
@@ -244,10 +244,11 @@
 static void note_head(WPRelay *r)
 {
     const WPReplica *s = r->flow->attempt.replica;
-    WPHeadChanges heard;
-    wp_flow_on_head(r->flow, wp_clock_now(0), &r->answer, &heard);
-    wp_relay_log_head_changes(r, s, &heard);
-    if (heard.draining || heard.backoff || heard.limit == WP_LIMIT_CHANGED)
+    WPHeadChanges changes;
+    wp_flow_on_head(r->flow, wp_clock_now(0), &r->answer, &changes);
+    wp_relay_log_head_changes(r, s, &changes);
+    if (changes.draining || changes.backoff ||
+        changes.limit == WP_LIMIT_CHANGED)
         wp_sync_schedule_notices(r->host->sync);
 }
 
@@ -440,11 +441,11 @@
 
 /* Refuses a request that the platform adapter could not parse. */
 static void refuse_request(WPDirectHost *h, WPDownstreamConn *p,
-                           const WPDirectRequest *ask, WPCode code,
+                           const WPDirectRequest *request, WPCode code,
                            uint32_t retry_ms, const char *why)
 {
     const WPCodeInfo *i = wp_code_info(code);
-    g_autofree char *id = g_strndup(ask->id.p, ask->id.n);
+    g_autofree char *id = g_strndup(request->id.p, request->id.n);
     g_autofree char *body =
         g_strdup_printf("{\"error\":{\"code\":\"%s\"}}\n", i->code);
     g_autoptr(GString) fields = g_string_new(NULL);
@@ -483,13 +484,13 @@
 /* Admits a request that was held until the routes were known. */
 static void admit_held(WPRelay *r, WPTime now)
 {
-    WPDirectRequest ask;
+    WPDirectRequest request;
     WPFlowAction m;
     r->awaits_routes = false;
     event_del(r->deadline_timer);
     parse_request(r->host, now, r->downstream_conn, &r->downstream_conn->head,
-                  &ask);
-    wp_flow_admit(r->flow, now, &ask, &m);
+                  &request);
+    wp_flow_admit(r->flow, now, &request, &m);
     if (m.kind == WP_FLOW_SEND)
         set_deadline_timer(r, now);
     do_action(r, &m);
@@ -511,17 +512,17 @@
 {
     WPDirectHost *h = arg;
     WPTime now = wp_clock_now(0);
-    WPDirectRequest ask;
+    WPDirectRequest request;
     WPFlowAction m;
-    const char *problem = parse_request(h, now, p, head, &ask);
+    const char *problem = parse_request(h, now, p, head, &request);
     if (problem) {
-        refuse_request(h, p, &ask, WP_BAD_REQUEST, 0, problem);
+        refuse_request(h, p, &request, WP_BAD_REQUEST, 0, problem);
         return;
     }
     WPRelay *r = new_relay(h, p);
-    if (ask.resumes)
-        wp_stream_set_last_id(&r->stream, ask.after_event);
-    r->flow = wp_flow_begin(&h->direct, now, &ask, &m);
+    if (request.resumes)
+        wp_stream_set_last_id(&r->stream, request.after_event);
+    r->flow = wp_flow_begin(&h->direct, now, &request, &m);
     if (m.kind == WP_FLOW_SEND)
         set_deadline_timer(r, now);
     do_action(r, &m);
--- a/io/wp_relay_int.h
+++ b/io/wp_relay_int.h
@@ -49,14 +49,16 @@
 /* Logs that the connection to an endpoint was lost while it ran the request. */
 void wp_relay_log_connection_lost(WPRelay *r, const char *endpoint);
 
-/* These append to the log line of the request, for each attempt:
-   - when it is sent: its reason and endpoint, the endpoint's load as this box
-     knew it and the age of that report, the estimated tokens of uncached
-     prompt, and the time to first byte predicted from that;
-   - the head of its answer;
-   - the way it ended. */
+/* Appends an attempt that is being sent to the log line of the request: its
+   reason and endpoint, the endpoint's load as this box knew it and the age of
+   that report, the estimated tokens of uncached prompt, and the time to first
+   byte predicted from that. */
 void wp_relay_note_attempt(WPRelay *r, const WPFlowAction *m, WPTime now);
+
+/* Appends the head of the present attempt's answer to the log line. */
 void wp_relay_note_answer(WPRelay *r);
+
+/* Appends to the log line how the present attempt ended. */
 void wp_relay_note_result(WPRelay *r, const char *how);
 
 #endif
--- a/io/wp_reports.c
+++ b/io/wp_reports.c
@@ -19,8 +19,8 @@
 struct WPReports {
     WPSync *sync;
     WPUsage *usage;
-    WPUsageUpdates *news;
-    WPReportLease *duty;
+    WPUsageUpdates *updates;
+    WPReportLease *lease;
     char *box; /* a copy, as a reload frees the settings */
     WPHttp *service;
     GByteArray *value;   /* of the write in progress */
@@ -83,7 +83,7 @@
     bool done = res->ok && res->succeeded;
     if (!res->ok)
         wp_count(counters_of(r), WP_C_STORE_ERRORS);
-    wp_report_lease_written(r->duty, now, done, res->revision);
+    wp_report_lease_written(r->lease, now, done, res->revision);
     if (done)
         wp_store_apply(r->sync, WP_KEY_REPORT_LEASE, &value, res->revision,
                        false);
@@ -120,14 +120,14 @@
     snprintf(window, sizeof(window), "%lu", (gulong)r->window);
     snprintf(code, sizeof(code), "%d", status);
     snprintf(fence, sizeof(fence), "%lu",
-             (gulong)wp_report_lease_fence(r->duty));
+             (gulong)wp_report_lease_fence(r->lease));
     snprintf(ms, sizeof(ms), "%.1f",
              (double)(now.mono_us - r->sent_us) / WP_US_PER_MS);
     wp_count(counters_of(r), accepted ? WP_C_REPORTS : WP_C_REPORTS_FAILED);
     wp_log(log_of(r), accepted ? WP_INFO : WP_WARN,
            accepted ? "usage_reported" : "usage_report_failed", "window",
            window, "fence", fence, "status", code, "ms", ms, NULL);
-    wp_report_lease_sent(r->duty, now, accepted);
+    wp_report_lease_sent(r->lease, now, accepted);
 }
 
 static void send_report(WPReports *r, WPTime now, const WPReportAction *a)
@@ -148,21 +148,21 @@
 
 static void log_holder(WPReports *r)
 {
-    bool holds = wp_report_lease_is_held(r->duty);
+    bool holds = wp_report_lease_is_held(r->lease);
     char fence[NUMBER_SIZE];
     if (holds == r->holder)
         return;
     r->holder = holds;
     snprintf(fence, sizeof(fence), "%lu",
-             (gulong)wp_report_lease_fence(r->duty));
+             (gulong)wp_report_lease_fence(r->lease));
     wp_log(log_of(r), WP_INFO, holds ? "duty_taken" : "duty_lost", "duty",
            "usage", "fence", fence, NULL);
 }
 
 static void log_problems(WPReports *r, WPTime now)
 {
-    const char *problem = wp_report_lease_problem(r->duty, now);
-    uint64_t missed = wp_report_lease_missed(r->duty) - r->missed;
+    const char *problem = wp_report_lease_problem(r->lease, now);
+    uint64_t missed = wp_report_lease_missed(r->lease) - r->missed;
     char n[NUMBER_SIZE];
     if (problem && problem != r->problem)
         wp_log(log_of(r), WP_ERROR_LEVEL, "usage_barred", "why", problem, NULL);
@@ -178,8 +178,8 @@
 void wp_reports_tick(WPReports *r, WPTime now)
 {
     WPReportAction a;
-    wp_usage_updates_tick(r->news, now);
-    wp_report_lease_next(r->duty, now, eligibility_of(r), &a);
+    wp_usage_updates_tick(r->updates, now);
+    wp_report_lease_next(r->lease, now, eligibility_of(r), &a);
     if (a.kind == WP_REPORT_WRITE)
         write_record(r, &a);
     else if (a.kind == WP_REPORT_SEND)
@@ -190,7 +190,7 @@
 
 void wp_reports_merge(WPReports *r, bool remote_zone, const Wp__UsageNews *n)
 {
-    wp_usage_updates_merge(r->news, remote_zone, n);
+    wp_usage_updates_merge(r->updates, remote_zone, n);
 }
 
 void wp_reports_mark_all_unsent(WPReports *r)
@@ -206,7 +206,7 @@
         value
             ? wp__duty_record__unpack(NULL, value->n, (const uint8_t *)value->p)
             : NULL;
-    wp_report_lease_observe(r->duty, now, revision, rec, value && !rec);
+    wp_report_lease_observe(r->lease, now, revision, rec, value && !rec);
     wp_pb_free(rec);
 }
 
@@ -226,7 +226,7 @@
 
 bool wp_reports_is_holder(const WPReports *r)
 {
-    return wp_report_lease_is_held(r->duty);
+    return wp_report_lease_is_held(r->lease);
 }
 
 /* Whether the settings ask for usage reports. Logs names in the setting
@@ -271,13 +271,13 @@
     r->usage = wp_usage_new(s->incarnation, window_ms,
                             late_ms + KEEP_WINDOWS * window_ms);
     wp_usage_start_clock(r->usage, now);
-    r->news = wp_usage_updates_new(s->peers, r->usage);
+    r->updates = wp_usage_updates_new(s->peers, r->usage);
     const WPReportLeaseRules rules = { .box = r->box,
                                        .window_ms = window_ms,
                                        .report_deadline_ms = late_ms,
                                        .lease_ms = (uint32_t)set->duty_lease_ms,
                                        .jitter = s->staleness.jitter };
-    r->duty = wp_report_lease_new(&rules, r->usage, now);
+    r->lease = wp_report_lease_new(&rules, r->usage, now);
     s->host->direct.usage = r->usage;
     return r;
 }
@@ -288,8 +288,8 @@
         return;
     r->sync->host->direct.usage = NULL;
     wp_http_free(r->service);
-    wp_usage_updates_free(r->news);
-    wp_report_lease_free(r->duty);
+    wp_usage_updates_free(r->updates);
+    wp_report_lease_free(r->lease);
     wp_usage_free(r->usage);
     if (r->value)
         g_byte_array_unref(r->value);
--- a/io/wp_reports.h
+++ b/io/wp_reports.h
@@ -30,10 +30,12 @@
 void wp_reports_observe_record(WPReports *r, const WPStr *value,
                                uint64_t revision);
 
-/* Digests carry the clock that usage windows are based on. The first adds this
-   box's to a digest, the second takes that of the box `from`. */
+/* Adds this box's usage clock, which usage windows are based on, to a digest
+   that is about to be sent. */
 void wp_reports_fill_digest(const WPReports *r, WPTime now,
                             Wp__MirrorDigest *d);
+
+/* Takes the usage clock of the box `from` out of a digest that it has sent. */
 void wp_reports_observe_clock(WPReports *r, WPTime now, const char *from,
                               const Wp__MirrorDigest *d);
 
--- a/io/wp_request_parse.h
+++ b/io/wp_request_parse.h
@@ -32,12 +32,14 @@
     bool want_usage;    /* the caller asked for token usage in the stream */
 } WPParsedRequest;
 
-/* Fills `out`, which must be zeroed, from a chat request or from a request to
-   a plain service. Returns WP_OK, or the error code of a request that must be
-   refused; `detail` is then set to a constant text, if there is more to say.
-   In either case `out` is freed with wp_parsed_request_end(). */
+/* Fills `out`, which must be zeroed, from a chat request. Returns WP_OK, or the
+   error code of a request that must be refused; `detail` is then set to a
+   constant text, if there is more to say. In either case `out` is freed with
+   wp_parsed_request_end(). */
 WPCode wp_request_parse_chat(const WPPolicy *p, struct evhttp_request *r,
                              WPParsedRequest *out, const char **detail);
+
+/* Like wp_request_parse_chat(), for a request to a plain service. */
 WPCode wp_request_parse_service(const WPPolicy *p, struct evhttp_request *r,
                                 WPParsedRequest *out, const char **detail);
 
--- a/io/wp_runner_int.h
+++ b/io/wp_runner_int.h
@@ -64,7 +64,9 @@
 
 /* Sends the job's request to the endpoint. */
 void wp_engine_start(WPRun *r);
-void wp_engine_abort(WPRun *r); /* cancels the request at the endpoint */
+
+/* Cancels the request at the endpoint. */
+void wp_engine_abort(WPRun *r);
 
 /* Continues to read an answer that was paused, if the window allows it. */
 void wp_engine_resume(WPRun *r);
--- a/io/wp_server_int.h
+++ b/io/wp_server_int.h
@@ -72,6 +72,7 @@
 /* Sends the backup entry the changes of the bills that it keeps copies of. */
 void wp_attempts_send_backup(WPServer *s);
 
+/* Removes the exchange from its server and its link, and frees it. */
 void wp_exchange_free(WPExchange *x);
 
 /* wp_reply.c: answers to callers. */
--- a/io/wp_store_writer.c
+++ b/io/wp_store_writer.c
@@ -20,7 +20,8 @@
 };
 
 /* A write has ended. After a conflict the present values of its keys are
-   applied; the next write waits for RETRY_MS in any case. */
+   applied. The next write waits for RETRY_MS, also after a write that took
+   effect: until then the watch reports the value. */
 static void on_written(void *arg, const WPKvResult *r)
 {
     WPSync *s = arg;
--- a/io/wp_sync_int.h
+++ b/io/wp_sync_int.h
@@ -32,9 +32,9 @@
     Wp__MoveSums sums[WP_DIGEST_SHIFTS_MAX], *sums_list[WP_DIGEST_SHIFTS_MAX];
     uint64_t bound[WP_DIGEST_SESSIONS_MAX], moved[WP_DIGEST_SESSIONS_MAX];
     uint64_t retired[WP_DIGEST_SESSIONS_MAX];
-    uint64_t kept_at[WP_DIGEST_PREFIXES_MAX],
-        kept_prefix[WP_DIGEST_PREFIXES_MAX];
-    uint32_t kept_tokens[WP_DIGEST_PREFIXES_MAX];
+    uint64_t prefix_replicas[WP_DIGEST_PREFIXES_MAX],
+        prefix_keys[WP_DIGEST_PREFIXES_MAX];
+    uint32_t prefix_tokens[WP_DIGEST_PREFIXES_MAX];
 
     WPDirectHost *host;
     uint64_t incarnation; /* of this process, as other boxes know it */
@@ -103,16 +103,19 @@
 /* wp_sync_peers.c: handles what other boxes send. */
 extern const WPPeersOps wp_sync_peers_ops;
 
-/* wp_digest.c: merges the digest of another box; adds to a digest what this
-   box sends along. See WPPeersOps. */
+/* wp_digest.c: merges the digest of another box; see
+   WPPeersOps.digest_received. */
 void wp_sync_merge_digest(void *arg, const char *from,
                           const Wp__MirrorDigest *d);
+
+/* Adds to a digest what this box sends along; see WPPeersOps.fill_digest. */
 void wp_sync_fill_digest(void *arg, Wp__MirrorDigest *d);
 
 /* wp_shift_records.c: records of running shifts in the store, which are kept
    if all boxes are lost. */
 struct WPShiftRecords *wp_shift_records_new(void);
 void wp_shift_records_free(struct WPShiftRecords *v);
+
 /* Writes the shift record of this box that is oldest, if one is due. */
 void wp_shift_records_tick(WPSync *s, WPTime now);
 
@@ -123,6 +126,7 @@
    endpoints have crashed (src/wp_suspects.h). */
 struct WPSuspectUpdates *wp_suspect_updates_new(WPSync *s);
 void wp_suspect_updates_free(struct WPSuspectUpdates *d);
+
 /* Schedules unsent updates, and writes or removes one record in the store if
    that is due. */
 void wp_suspect_updates_tick(WPSync *s, WPTime now);
@@ -141,9 +145,11 @@
 void wp_suspect_record_apply(WPSync *s, const char *hex, const WPStr *value);
 
 /* Converts the counts that one incarnation has observed of a shift to the
-   wire format and back. */
+   wire format. */
 void wp_shift_sums_encode(const WPShift *sh, uint64_t incarnation,
                           const WPCanarySums *v, Wp__MoveSums *out);
+
+/* Converts such counts from the wire format. */
 WPCanarySums wp_shift_sums_decode(const Wp__MoveSums *m);
 
 /* wp_store_writer.c: writes to the store what is due: steps of shifts and the
--- a/io/wp_upstream.h
+++ b/io/wp_upstream.h
@@ -59,8 +59,10 @@
                                  struct evbuffer *request, bool no_body,
                                  bool non_repeatable, void *arg);
 
-/* Abandons the request in flight: closes the connection, so that the endpoint
-   stops working on it. No callback is called. */
+/* Abandons the request in flight on `c`: closes and frees the connection, so
+   that the endpoint stops working on the request. No callback is called, and
+   `c` is no longer valid. Must only be called while the request is in flight:
+   after `complete` or `lost` the connection does not belong to it any more. */
 void wp_upstream_cancel(WPUpstreamConn *c);
 
 /* Stops or resumes reading the answer; used for backpressure while the caller
--- a/io/wp_usage_updates.h
+++ b/io/wp_usage_updates.h
@@ -7,6 +7,8 @@
 
 typedef struct WPUsageUpdates WPUsageUpdates;
 
+/* Creates the sender of the counts in `usage`. `peers` and `usage` must outlive
+   it. */
 WPUsageUpdates *wp_usage_updates_new(WPPeers *peers, WPUsage *usage);
 void wp_usage_updates_free(WPUsageUpdates *n);
 
--- a/io/wp_zone_updates.h
+++ b/io/wp_zone_updates.h
@@ -8,6 +8,9 @@
 
 typedef struct WPZoneUpdates WPZoneUpdates;
 
+/* Creates the sender of these updates, without any to send. If the setting
+   zone_news is on, the fleet of `h` adds its updates to it. `h` and `peers`
+   must outlive it. */
 WPZoneUpdates *wp_zone_updates_new(WPDirectHost *h, WPPeers *peers);
 void wp_zone_updates_free(WPZoneUpdates *z);
 
--- a/src/wp_agent.c
+++ b/src/wp_agent.c
@@ -19,7 +19,7 @@
     /* agent's id -> incarnation that has our keys */
     GHashTable *handed_over_to;
     bool draining;
-    bool guard_off[WP_GUARD_COUNT]; /* guards that a scenario switched off */
+    bool guard_disabled[WP_GUARD_COUNT]; /* guards that a scenario disabled */
     WPList held;    /* of WPJob by `hold_link`: waiting for the configuration */
     WPList refused; /* the same: evicted from the queue, to be answered */
 };
@@ -45,7 +45,7 @@
     for (size_t i = 0; i < s->n_versions; i++)
         a->versions[i] = g_strdup(s->versions[i]);
     for (int g = 0; g < WP_GUARD_COUNT; g++)
-        a->guard_off[g] = wp_guard_is_disabled(s->node, (WPGuard)g);
+        a->guard_disabled[g] = wp_guard_is_disabled(s->node, (WPGuard)g);
     wp_list_init(&a->held);
     wp_list_init(&a->refused);
     return a;
@@ -127,13 +127,13 @@
     WPAgentDecision ok = { WP_AGENT_RUN, WP_OK, 0 };
     const WPWorkspace *ws = wp_policy_workspace(a->policy, s->workspace);
     const WPKind *kind = wp_policy_kind(a->policy, s->kind);
-    if (a->guard_off[WP_GUARD_ALLOWED])
+    if (a->guard_disabled[WP_GUARD_ALLOWED])
         return ok;
     if (!ws || !kind || !served_here(a, s->version) ||
         !version_allowed(a, s, ws, kind))
         return refuse(WP_VERSION_REFUSED, 0);
     int64_t bound_ms = (int64_t)kind->spec->stale_bound_s * WP_MS_PER_S;
-    if (bound_ms && !a->guard_off[WP_GUARD_STALE] &&
+    if (bound_ms && !a->guard_disabled[WP_GUARD_STALE] &&
         wp_node_config_age_ms(a->node, now) > bound_ms)
         return refuse(WP_STALE, STALE_RETRY_MS);
     return ok;
@@ -143,7 +143,7 @@
 {
     const WPKind *kind = wp_policy_kind(a->policy, s->kind);
     return s->once_key && kind && !kind->spec->repeatable &&
-           !a->guard_off[WP_GUARD_ONCE];
+           !a->guard_disabled[WP_GUARD_ONCE];
 }
 
 /* Checks and records the idempotency key of a request that needs one. Refuses
@@ -226,12 +226,12 @@
    queue. */
 static WPAgentDecision admit(WPAgent *a, WPTime now, WPJob *j)
 {
-    if (a->draining && !a->guard_off[WP_GUARD_LEAVING])
+    if (a->draining && !a->guard_disabled[WP_GUARD_LEAVING])
         return refuse(WP_LEAVING, 0);
     if (!wp_node_ready(a->node) || !a->policy)
         return refuse(WP_NOT_READY, SETTLING_RETRY_MS);
     if (j->config_revision > wp_policy_revision(a->policy) &&
-        !a->guard_off[WP_GUARD_HOLD])
+        !a->guard_disabled[WP_GUARD_HOLD])
         return (WPAgentDecision){ WP_AGENT_HOLD, WP_OK, 0 };
     if (wp_bills_full(a->bills))
         return refuse(WP_BILLS_FULL, STALE_RETRY_MS);
@@ -444,7 +444,7 @@
     const WPMembers *t = wp_node_members(a->node);
     for (unsigned i = 0; i < wp_members_live_count(t); i++) {
         const WPMemberRow *r = wp_members_live_at(t, i);
-        if (is_peer_agent(a, r->m) && !a->guard_off[WP_GUARD_HANDOVER])
+        if (is_peer_agent(a, r->m) && !a->guard_disabled[WP_GUARD_HANDOVER])
             send_handover(a, r, (uint64_t)now.wall_ms, fn, arg);
     }
 }
@@ -470,7 +470,7 @@
 {
     const WPMembers *t = wp_node_members(a->node);
     uint64_t at_ms = (uint64_t)now.wall_ms + a->once_skew_ms;
-    if (a->draining || a->guard_off[WP_GUARD_HANDOVER])
+    if (a->draining || a->guard_disabled[WP_GUARD_HANDOVER])
         return;
     for (unsigned i = 0; i < wp_members_live_count(t); i++) {
         const WPMemberRow *r = wp_members_live_at(t, i);
--- a/src/wp_agent.h
+++ b/src/wp_agent.h
@@ -91,8 +91,9 @@
 void wp_agent_hand_over_keys(WPAgent *a, WPTime now, WPHandoverFn fn,
                              void *arg);
 
-/* To be called at each tick: the same for each agent that has started lately
-   and is about to own keys of this one; once for each of its starts. */
+/* To be called at each tick: hands keys over as wp_agent_hand_over_keys() does,
+   to each agent that has started lately and is about to own keys of this one;
+   once for each start of such an agent. */
 void wp_agent_hand_over_to_joining(WPAgent *a, WPTime now, WPHandoverFn fn,
                                    void *arg);
 
@@ -105,8 +106,15 @@
 /* Whether no job runs or waits. */
 bool wp_agent_idle(const WPAgent *a);
 
+/* Returns the bills that this agent has made and that are not yet known to be
+   in the store; owned by the agent. */
 WPBills *wp_agent_bills(WPAgent *a);
+
+/* Returns the queue of jobs that wait for a slot or run; owned by the agent. */
 WPQueue *wp_agent_queue(WPAgent *a);
+
+/* Returns the compiled configuration as of the last refresh; owned by the
+   agent. */
 WPPolicy *wp_agent_policy(WPAgent *a);
 
 #endif
--- a/src/wp_balance.c
+++ b/src/wp_balance.c
@@ -191,8 +191,8 @@
 {
     unsigned count = 0;
     unsigned start = n ? (unsigned)g_rand_int_range(b->rand, 0, (gint)n) : 0;
-    unsigned look = MIN(n, 4 * WP_PICK_MAX);
-    for (unsigned i = 0; i < look && count < WP_PICK_MAX; i++) {
+    unsigned max_checked = MIN(n, 4 * WP_PICK_MAX);
+    for (unsigned i = 0; i < max_checked && count < WP_PICK_MAX; i++) {
         WPEndpoint *e = from[(start + i) % n];
         if (wp_endpoint_usable(e, p->now_us) && !was_tried(p, e))
             out[count++] = e;
--- a/src/wp_balance.h
+++ b/src/wp_balance.h
@@ -85,22 +85,29 @@
 bool wp_endpoint_usable(const WPEndpoint *e, int64_t now_us);
 
 /* Predicted microseconds from sending a request now to the first token of its
-   answer: by the endpoint's load reports, and by this entry's own requests
-   alone. */
+   answer, by the endpoint's load reports and this entry's own requests. */
 double wp_endpoint_wait(const WPEndpoint *e, int64_t now_us);
+
+/* Predicts the same time as wp_endpoint_wait(), by this entry's own requests
+   alone. */
 double wp_endpoint_own_wait(const WPEndpoint *e, int64_t now_us);
 
-/* wp_balancer_predict() predicts the wait of a request when it is sent;
-   wp_balancer_learn() compares the prediction with the observed time to the
-   first token, `took_us`. */
+/* Predicts the wait of a request that is sent now, in both ways. */
 WPWaitPrediction wp_balancer_predict(const WPEndpoint *e, int64_t now_us);
+
+/* Updates the errors of both ways by comparing a request's prediction with the
+   observed time to the first token, `took_us`. */
 void wp_balancer_learn(WPBalancer *b, const WPWaitPrediction *f,
                        int64_t took_us);
 
-/* Records a request sent to the endpoint, a load report from its agent, and
-   the first token of an answer, `took_us` after the request was sent. */
+/* Records a request that is sent to the endpoint. */
 void wp_endpoint_sent(WPEndpoint *e, int64_t now_us);
+
+/* Records a load report from the endpoint's agent. */
 void wp_endpoint_update_load(WPEndpoint *e, const Wp__Load *l, int64_t now_us);
+
+/* Records that the first token of an answer came `took_us` after its request
+   was sent. */
 void wp_endpoint_first_token(WPEndpoint *e, int64_t took_us);
 
 /* A request has ended at the endpoint after `took_us`; `ok`: the endpoint did
--- a/src/wp_bill.h
+++ b/src/wp_bill.h
@@ -76,9 +76,16 @@
     unsigned occurrences; /* bills that were found for it */
 } WPCharge;
 
+/* Returns an empty table of charges. */
 WPCharges *wp_charges_new(void);
 void wp_charges_free(WPCharges *c);
+
+/* Adds the bills of a batch. Of several bills for one charge the preferred one
+   is charged: that of a complete answer first, then that of the later attempt,
+   then that with more answer tokens. */
 void wp_charges_add(WPCharges *c, const Wp__BillBatch *b);
+
+/* Calls `fn` with `arg` for each charge, in no particular order. */
 void wp_charges_each(const WPCharges *c,
                      void (*fn)(void *arg, const WPCharge *c), void *arg);
 
--- a/src/wp_bill_backup.c
+++ b/src/wp_bill_backup.c
@@ -9,6 +9,7 @@
    for this time after they came, in case the entry fails before that. */
 #define KEEP_US (60 * WP_US_PER_S)
 
+/* Frees one Wp__SettledUpTo of `settled_pending`. */
 static void free_settled(gpointer s)
 {
     wp_pb_free(s);
@@ -147,7 +148,7 @@
     const WPMemberRow *r = choose_backup(e);
     (void)now;
     drop_settled_own(e);
-    if (!r || e->guard_off[WP_GUARD_WITNESS]) {
+    if (!r || e->guard_disabled[WP_GUARD_WITNESS]) {
         g_ptr_array_set_size(e->settled_pending, 0);
         return;
     }
--- a/src/wp_bill_copies.c
+++ b/src/wp_bill_copies.c
@@ -100,7 +100,7 @@
    request is still charged once (WPCharges). */
 void wp_entry_take_over_bills(WPEntry *e, WPTime now)
 {
-    if (e->guard_off[WP_GUARD_TAKEOVER])
+    if (e->guard_disabled[WP_GUARD_TAKEOVER])
         return;
     wp_list_each_safe (it, tmp, &e->bill_copies) {
         WPBillCopy *c = wp_list_item(it, WPBillCopy, link);
--- a/src/wp_box_updates.h
+++ b/src/wp_box_updates.h
@@ -29,17 +29,23 @@
                          kind were queued */
 } WPBoxUpdates;
 
+/* Initializes `n` without records. */
 void wp_box_updates_init(WPBoxUpdates *n);
+
+/* Frees the records of `n`, but not `n` itself. */
 void wp_box_updates_destroy(WPBoxUpdates *n);
 
-/* Each function below queues one record, or counts it as dropped if there is no
-   room. `replica` is the hash that identifies an endpoint in messages.
-   wp_box_updates_add_sent(): a request was sent to the endpoint;
-   wp_box_updates_add_first_byte(): the first byte of its answer has arrived.
-   `prefill_us` is the predicted prefill time of the request's prompt, the same
-   in both. */
+/* Each wp_box_updates_add_ function queues one record, or counts it as dropped
+   if there is no room. `replica` is the hash that identifies an endpoint in
+   messages. */
+
+/* A request was sent to the endpoint; `prefill_us` is the predicted prefill
+   time of its prompt. */
 void wp_box_updates_add_sent(WPBoxUpdates *n, uint64_t replica,
                              double prefill_us);
+
+/* The first byte of an answer has arrived from the endpoint; `prefill_us`: the
+   same as in wp_box_updates_add_sent(). */
 void wp_box_updates_add_first_byte(WPBoxUpdates *n, uint64_t replica,
                                    double prefill_us);
 
@@ -85,7 +91,10 @@
                                   what 20 boxes send in 20 ms */
 };
 
+/* Initializes an empty batch. */
 void wp_update_batch_init(WPUpdateBatch *b);
+
+/* Frees the messages of the batch, but not `b` itself. */
 void wp_update_batch_destroy(WPUpdateBatch *b);
 
 /* Adds a copy of `m`, or counts it as dropped if there is no room. */
--- a/src/wp_canary.c
+++ b/src/wp_canary.c
@@ -2,8 +2,8 @@
 #include "wp_canary.h"
 
 /* A bad version is bad on all its endpoints, while one that fails alone is left
-   to the choice of endpoints. So a verdict needs bad answers from this share of
-   the replicas, out of those that had a bad answer or at least
+   to the choice of endpoints. So a decision needs bad answers from this share
+   of the replicas, out of those that had a bad answer or at least
    MIN_REPLICA_ANSWERS. */
 #define MIN_BAD_REPLICA_SHARE 0.25
 #define MIN_REPLICA_ANSWERS 3
--- a/src/wp_canary.h
+++ b/src/wp_canary.h
@@ -31,7 +31,10 @@
     GHashTable *reports;
 } WPCanary;
 
+/* Begins without answers and reports. */
 void wp_canary_init(WPCanary *c);
+
+/* Frees what `c` owns, but not `c` itself. */
 void wp_canary_end(WPCanary *c);
 
 /* Counts how one request ended at this box. `on_new`: it was on the new
@@ -58,7 +61,7 @@
 /* Sums of the new version at this box, counted by this process. */
 WPCanarySums wp_canary_own_sums(const WPCanary *c);
 
-/* The same, with all reports added. */
+/* Sums of the new version counted by this process and in all reports. */
 WPCanarySums wp_canary_pooled_sums(const WPCanary *c);
 
 /* Sums of the old version: answers and failures at all boxes, answer times at
--- a/src/wp_canary_judge.c
+++ b/src/wp_canary_judge.c
@@ -191,7 +191,7 @@
 
 /* Guards against completing a shift on uncertain statistics: three failures of
    some thirty answers, where the old version had none in hundreds, are too few
-   for a verdict after a start. */
+   for a decision after a start. */
 bool wp_canary_sums_may_fail(const WPCanarySums *v, const WPCanarySums *old)
 {
     double good = (old->failed + 1.0) / (old->answered + PRIOR_ANSWERS);
--- a/src/wp_canary_judge.h
+++ b/src/wp_canary_judge.h
@@ -74,13 +74,14 @@
 /* In the following functions `v` are the sums of the new version and `old`
    those of the old one. */
 
-/* The verdict on the new version. `beside`: the old version serves as well, so
-   that answer times can be compared. */
+/* Returns the fault of the new version, if the statistics show one. `beside`:
+   the old version serves as well, so that answer times can be compared. */
 WPVersionFault wp_canary_judge(const WPCanarySums *v, const WPCanarySums *old,
                                bool beside);
 
 /* Whether the failures are more likely from a version that fails than from a
-   good one. A verdict takes more. */
+   good one. wp_canary_judge() takes
+   more. */
 bool wp_canary_sums_may_fail(const WPCanarySums *v, const WPCanarySums *old);
 
 /* Whether the answers are more likely from a slow version than from a good one,
@@ -95,8 +96,10 @@
 /* Whether the new version fails on loaded replicas. */
 bool wp_canary_sums_fail_loaded(const WPCanarySums *v);
 
-/* Whether some answer of a replica failed; whether its answers are slow. */
+/* Whether some answer in the sums of a replica failed. */
 bool wp_canary_sums_any_failed(const WPCanarySums *v);
+
+/* Whether the answers in the sums of a replica are slow. */
 bool wp_canary_sums_are_slow(const WPCanarySums *v);
 
 /* The statistics as text for the log; `route` is the route that they are of, or
--- a/src/wp_cascade.c
+++ b/src/wp_cascade.c
@@ -118,10 +118,10 @@
     double value = answer_value(r, c->prompt_tokens, c->answer_tokens);
     double good = wp_cascade_good_chance(r, c->confidence);
     double keep = (good + (1 - good) * POOR_VALUE) * value;
-    double ask = expected_timeliness(c->on_time_chance) * value;
+    double escalate = expected_timeliness(c->on_time_chance) * value;
     double price =
         answer_price(c->model_cost, c->prompt_tokens, c->answer_tokens);
-    return ask - keep - price - c->prefill_price;
+    return escalate - keep - price - c->prefill_price;
 }
 
 bool wp_cascade_starts_with_largest(const WPCascadeRules *r,
--- a/src/wp_cascade.h
+++ b/src/wp_cascade.h
@@ -60,9 +60,11 @@
    seconds. */
 void wp_value_rate_init(WPValueRate *e);
 
-/* Adds a request of this size, and seconds of prefill. */
+/* Adds the value of a good answer to a request of this size. */
 void wp_value_rate_add_request(WPValueRate *e, const WPCascadeRules *r,
                                uint32_t prompt_tokens, uint32_t answer_tokens);
+
+/* Adds seconds of prefill that were spent on requests. */
 void wp_value_rate_add_prefill(WPValueRate *e, double prefill_s);
 
 /* Value per second of prefill; the initial estimate until requests have been
--- a/src/wp_config.h
+++ b/src/wp_config.h
@@ -19,9 +19,12 @@
    brought up to date without a full copy. */
 enum { WP_CONFIG_HISTORY = 64 };
 
+/* Returns an empty configuration at revision 0. */
 WPConfig *wp_config_new(void);
 void wp_config_free(WPConfig *c);
-uint64_t wp_config_revision(const WPConfig *c); /* 0: none yet */
+
+/* Returns the present revision; 0: no change has been applied yet. */
+uint64_t wp_config_revision(const WPConfig *c);
 
 /* Applies one change. `c` is unchanged unless WP_APPLY_DONE is returned. */
 WPApplyResult wp_config_apply(WPConfig *c, const Wp__Delta *d);
@@ -54,10 +57,16 @@
    wp_ops_free(). */
 GPtrArray *wp_rules_to_ops(const Wp__Rules *r);
 
-/* Returns an operation that stores an object or deletes a key; free with
+/* Returns an operation that stores a copy of the object; free with
    wp_pb_free(). */
 Wp__Op *wp_op_put(const Wp__Object *o);
+
+/* Returns an operation that deletes the object of `key`; free with
+   wp_pb_free(). */
 Wp__Op *wp_op_delete(const char *key);
+
+/* Frees an array of operations, as returned by wp_rules_to_ops(), and the
+   operations in it. */
 void wp_ops_free(GPtrArray *ops);
 
 #endif
--- a/src/wp_counters.c
+++ b/src/wp_counters.c
@@ -40,11 +40,11 @@
 
 double wp_histogram_quantile(const WPHistogram *h, double q)
 {
-    uint64_t want = (uint64_t)ceil(q * (double)h->count);
+    uint64_t rank = (uint64_t)ceil(q * (double)h->count);
     uint64_t seen = 0;
     for (unsigned b = 0; b < WP_HISTOGRAM_BUCKETS; b++) {
         seen += h->bucket[b];
-        if (seen && seen >= want)
+        if (seen && seen >= rank)
             return bucket_edge(b);
     }
     return 0;
--- a/src/wp_demand.h
+++ b/src/wp_demand.h
@@ -19,6 +19,7 @@
 
 typedef struct WPDemand WPDemand;
 
+/* Returns a table without any rates. */
 WPDemand *wp_demand_new(void);
 void wp_demand_free(WPDemand *d);
 
@@ -52,10 +53,11 @@
 bool wp_demand_take_unsent_zone(WPDemand *d, WPTime now, const WPPaceBoxes *b,
                                 WPDemandUpdate *out);
 
-/* Merges a rate that was received: another box's own, or that of a zone.
-   wp_demand_merge_zone() returns true when the update is newer than what is
-   known, and has to be forwarded. */
+/* Merges another box's own rate, as received from that box. */
 void wp_demand_merge(WPDemand *d, WPTime now, const WPDemandUpdate *n);
+
+/* Merges a zone's rate that was received. Returns true if the update is newer
+   than what is known, and has to be forwarded. */
 bool wp_demand_merge_zone(WPDemand *d, WPTime now, const WPDemandUpdate *n);
 
 /* Calls `fn` for each zone rate that has not expired, to bring a box that has
--- a/src/wp_direct.c
+++ b/src/wp_direct.c
@@ -201,7 +201,7 @@
     WPTime now;
     uint64_t session;
     bool first_half; /* some shift is in its first half */
-    bool taken;      /* some shift moves the session, by its position */
+    bool is_moved;   /* some shift moves the session, by its position */
 } ShiftReach;
 
 static void add_reach(void *arg, WPShift *sh)
@@ -212,7 +212,7 @@
     double position = wp_direct_shift_position(
         r->d, r->now, sh, wp_direct_session_position(r->session));
     r->first_half |= wp_shift_first_half(sh, r->now);
-    r->taken |= position < wp_shift_stage(r->d->shifts, sh, r->now)->share;
+    r->is_moved |= position < wp_shift_stage(r->d->shifts, sh, r->now)->share;
 }
 
 /* Whether a box that knows nothing of the session would send it to another
@@ -224,7 +224,7 @@
 {
     ShiftReach r = { d, now, session, false, false };
     wp_shifts_each(d->shifts, add_reach, &r);
-    return moved ? r.first_half || !r.taken : r.taken;
+    return moved ? r.first_half || !r.is_moved : r.is_moved;
 }
 
 static bool is_new_version(const WPDirect *d, const char *version)
--- a/src/wp_direct.h
+++ b/src/wp_direct.h
@@ -58,6 +58,8 @@
    random choices. */
 void wp_direct_init(WPDirect *d, const WPDirectRules *rules,
                     const Wp__Chart *chart, uint32_t seed);
+
+/* Frees what `d` owns, but not `d` itself. */
 void wp_direct_end(WPDirect *d);
 
 /* Takes over a table of routes, with the caller's reference. Returns false, and
@@ -300,6 +302,7 @@
 /* The caller has closed its connection. */
 void wp_flow_on_caller_gone(WPFlow *f, WPTime now);
 
+/* Frees a flow after its last action. */
 void wp_flow_free(WPFlow *f);
 
 /* The reason's name in the log. */
--- a/src/wp_direct_int.h
+++ b/src/wp_direct_int.h
@@ -26,9 +26,13 @@
 /* The retry budget of a service. */
 WPRetryBudget *wp_direct_retry_budget(WPDirect *d, const char *service);
 
-/* The learned models of a model's answer times; `what` is the name of a
-   service, for streams, or of a route, for answers that are not streamed. */
+/* The model that predicts the time to first byte of answers by `model`; created
+   if missing. `what` is the name of a service, for streams, or of a route, for
+   answers that are not streamed. */
 WPTtfbModel *wp_direct_ttfb_model(WPDirect *d, const char *what, WPStr model);
+
+/* The quartiles of the times learned for `model`: event gaps, if `what` is a
+   service, or answer times, if it is a route; created if missing. */
 WPQuartiles *wp_direct_quartiles(WPDirect *d, const char *what, WPStr model);
 
 /* How good the smallest model's answers are on a route. */
--- a/src/wp_entry.c
+++ b/src/wp_entry.c
@@ -34,7 +34,7 @@
     if (wp_guard_is_disabled(s->node, WP_GUARD_BILL_RETRY))
         wp_bills_set_no_retry(e->bills);
     for (int g = 0; g < WP_GUARD_COUNT; g++)
-        e->guard_off[g] = wp_guard_is_disabled(s->node, (WPGuard)g);
+        e->guard_disabled[g] = wp_guard_is_disabled(s->node, (WPGuard)g);
     return e;
 }
 
@@ -298,7 +298,8 @@
     bool owner_changes = code == WP_LEAVING || code == WP_NOT_KEEPER;
     if (owner_changes && wp_may_wait_for_key_owner(r, now))
         return wp_entry_retry_later();
-    if (again && !is_key_outcome(code) && !e->guard_off[WP_GUARD_REDIRECT] &&
+    if (again && !is_key_outcome(code) &&
+        !e->guard_disabled[WP_GUARD_REDIRECT] &&
         may_retry(e, r, now, is_redirect(code)))
         action = retry(e, now, r);
     return finish(e, now, r, action);
@@ -353,7 +354,7 @@
     wp_bill_copy_add(e, r, end);
     r->maybe_ran = true;
     r->billed_by_agent = true;
-    if (!end->whole && !e->guard_off[WP_GUARD_WHOLE]) {
+    if (!end->whole && !e->guard_disabled[WP_GUARD_WHOLE]) {
         record_failure(e, now, r->endpoint);
         return attempt_failed(e, now, r, WP_ENDPOINT_FAILED, WP_RAN_UNKNOWN, 0,
                               true);
@@ -393,7 +394,7 @@
                                  bool sent)
 {
     record_failure(e, now, r->endpoint);
-    if (sent && !e->guard_off[WP_GUARD_UNKNOWN])
+    if (sent && !e->guard_disabled[WP_GUARD_UNKNOWN])
         return attempt_failed(e, now, r, WP_LINK_LOST, WP_RAN_UNKNOWN, 0,
                               false);
     return attempt_failed(e, now, r, WP_ENDPOINT_DOWN, WP_RAN_NOT_RUN,
--- a/src/wp_entry.h
+++ b/src/wp_entry.h
@@ -95,7 +95,13 @@
 /* Takes over the node's configuration, table of boxes and ratings; to be called
    after each change of these. */
 void wp_entry_refresh(WPEntry *e, WPTime now);
+
+/* Returns the compiled configuration as of the last refresh; owned by the
+   entry. */
 WPPolicy *wp_entry_policy(WPEntry *e);
+
+/* Returns the bills that this entry has made and that are not yet known to be
+   in the store; owned by the entry. */
 WPBills *wp_entry_bills(WPEntry *e);
 
 /* The quality bounds, as of wp_quality_table(). */
@@ -107,21 +113,24 @@
                           WPEntryAction *action);
 void wp_request_free(WPRequest *r);
 
-/* Events of the present attempt. Each function returns the next action, where
-   there is one.
+/* Events of the present attempt of a request. The functions that return an
+   action return the next one for the request. */
 
-   The agent has refused it; `ran` and `retry_ms` are from its Refuse
+/* The agent has refused the attempt; `ran` and `retry_ms` are from its Refuse
    message. */
 WPEntryAction wp_entry_refused(WPEntry *e, WPTime now, WPRequest *r,
                                WPCode code, WPRan ran, uint32_t retry_ms);
 
-/* The agent has given it a slot. */
+/* Records that the agent has given the attempt a slot to run. No action
+   follows. */
 void wp_entry_accepted(WPEntry *e, WPTime now, WPRequest *r);
 
-/* The first bytes of the answer have come. */
+/* Records that the first bytes of the attempt's answer have come. No action
+   follows. */
 void wp_entry_first_bytes(WPEntry *e, WPTime now, WPRequest *r);
 
-/* It has ended at the agent, which has made a bill. */
+/* The attempt has ended at the agent, which has made a bill for it; `end` is
+   its End message. */
 WPEntryAction wp_entry_ended(WPEntry *e, WPTime now, WPRequest *r,
                              const Wp__End *end);
 
@@ -140,13 +149,19 @@
 /* The request's deadline has passed. */
 WPEntryAction wp_entry_deadline_passed(WPEntry *e, WPTime now, WPRequest *r);
 
-/* The caller has closed its connection. The daemon sends the agent a Cancel
-   message. */
+/* The caller has closed its connection. No action is returned: the daemon sends
+   the agent a Cancel message. */
 void wp_entry_caller_gone(WPEntry *e, WPTime now, WPRequest *r);
 
-/* The endpoint of the agent with this id, or NULL. */
+/* Returns the endpoint of the agent with this id, or NULL. */
 WPEndpoint *wp_entry_endpoint(WPEntry *e, const char *id);
+
+/* Returns the number of endpoints that are listed or have requests in
+   flight. */
 unsigned wp_entry_endpoint_count(const WPEntry *e);
+
+/* Calls `fn` with `arg` for each endpoint that wp_entry_endpoint_count()
+   counts. */
 void wp_entry_each_endpoint(WPEntry *e, void (*fn)(void *, WPEndpoint *),
                             void *arg);
 
--- a/src/wp_entry_int.h
+++ b/src/wp_entry_int.h
@@ -84,13 +84,17 @@
     GHashTable *withdrawn; /* names of versions that were withdrawn at the last
                               refresh */
     uint32_t once_settle_ms;
-    bool guard_off[WP_GUARD_COUNT]; /* guards that a scenario switched off */
+    bool guard_disabled[WP_GUARD_COUNT]; /* guards that a scenario disabled */
 };
 
 /* Brings the endpoints and the pools up to date with the table of boxes. */
 void wp_pools_rebuild(WPEntry *e, WPTime now);
+
+/* Frees the pools, but not the endpoints in them. */
 void wp_pools_free(WPEntry *e);
-void wp_pools_free_endpoint(WPEndpoint *p); /* frees one WPEndpoint */
+
+/* Frees one WPEndpoint. */
+void wp_pools_free_endpoint(WPEndpoint *p);
 
 /* Starts the next attempt, with the version that is chosen: chooses the
    endpoint and counts it as sent. Or returns why there is none. */
@@ -109,8 +113,12 @@
 WPEntryAction wp_entry_fail(WPCode code, uint32_t retry_ms);
 
 /* The action to try again shortly, as the owner of the idempotency key is just
-   changing; and whether the request has time for that. */
+   changing. */
 WPEntryAction wp_entry_retry_later(void);
+
+/* Whether a refusal because the key owner is changing may be followed by
+   wp_entry_retry_later(): the request is non-repeatable, began recently, and
+   its deadline leaves time for another try. */
 bool wp_may_wait_for_key_owner(const WPRequest *r, WPTime now);
 
 /* wp_workspace_traffic.c: the counts of a workspace, created if missing. */
@@ -142,14 +150,18 @@
 /* Makes a bill of this entry's own for a request whose agent has made none. */
 void wp_entry_add_bill(WPEntry *e, WPTime now, const WPRequest *r);
 
-/* wp_bill_backup.c: backup entries. */
+/* wp_bill_backup.c: begins without own bills and without a backup entry. */
 void wp_bill_backup_init(WPEntry *e);
+
+/* Frees the copies of this entry's own bills, the notes on settled bills that
+   are still to be sent, and what is known of its backup entry. */
 void wp_bill_backup_end(WPEntry *e);
 
 /* Notes that bills of that owner up to `upto` are settled, so that the backup
    entry can drop its copies. */
 void wp_bill_backup_note_settled(WPEntry *e, const char *owner,
                                  uint64_t incarnation, uint64_t upto);
+
 /* To be called when a copy's owner is gone: whether this entry has to write the
    bill now. A copy that it keeps as a backup waits until that entry is gone
    too; `drop` is set when it has been kept long enough. */
--- a/src/wp_events.h
+++ b/src/wp_events.h
@@ -38,6 +38,8 @@
 
 typedef struct WPEvents WPEvents;
 
+/* Returns an empty buffer. `box` is the id of the box, which is in each event
+   of wp_events_json(). */
 WPEvents *wp_events_new(const char *box);
 void wp_events_free(WPEvents *e);
 
--- a/src/wp_fleet.h
+++ b/src/wp_fleet.h
@@ -143,10 +143,11 @@
 typedef struct WPFleet WPFleet;
 struct WPBoxUpdates;
 
-/* Returns a new fleet without endpoints; `seed` is of its random choices.
-   wp_fleet_set_rules() sets the weights, which are copied. */
+/* Returns a new fleet without endpoints; `seed` is of its random choices. */
 WPFleet *wp_fleet_new(uint32_t seed);
 void wp_fleet_free(WPFleet *f);
+
+/* Sets the weights of the scores; `rules` is copied. */
 void wp_fleet_set_rules(WPFleet *f, const WPFleetRules *rules);
 
 /* Takes a registry entry that wp_registry_entry_invalid_field() accepts;
@@ -167,10 +168,12 @@
 /* Sets the area in which a zone lies. */
 void wp_fleet_set_area(WPFleet *f, const char *zone, const char *area);
 
-/* wp_fleet_in_areas(): whether the request's areas allow it to be served by
-   the endpoint. wp_fleet_all_outside_areas(): whether the service has
-   registered endpoints, and none of them is allowed. */
+/* Whether the areas of the route and of the caller both allow the request to
+   be served by the endpoint. */
 bool wp_fleet_in_areas(const WPEndpointQuery *q, const WPReplica *s);
+
+/* Whether the request's service has registered endpoints, all of them in areas
+   where the request must not be served. */
 bool wp_fleet_all_outside_areas(WPFleet *f, const WPEndpointQuery *q);
 
 /* Sets how the endpoints of a service start: each takes `per_s` requests a
@@ -203,9 +206,10 @@
 /* Removes endpoints whose grace period is over, and forgets old rate limits. */
 void wp_fleet_tick(WPFleet *f, WPTime now);
 
-/* Finds an endpoint by its id; NULL: not known. wp_fleet_each() calls `fn` for
-   all. */
+/* Returns the endpoint with this id; NULL: not known. */
 WPReplica *wp_fleet_find(WPFleet *f, const char *id);
+
+/* Calls `fn` with `arg` for each endpoint, in no particular order. */
 void wp_fleet_each(WPFleet *f, void (*fn)(void *arg, WPReplica *s), void *arg);
 
 /* Number of the service's endpoints that can take the request, apart from
@@ -238,18 +242,20 @@
                                   const WPEndpointQuery *q, const WPReplica *s,
                                   const WPReplica **source);
 
-/* A prompt prefix that an engine has cached after a request of this box.
-   wp_fleet_take_unsent_prefixes() moves up to `max` of these that other boxes
-   have not been sent to `out`; wp_fleet_merge_cached_prefix() takes in one
-   from another box. */
+/* A prompt prefix that an engine has cached after a request of a box, as boxes
+   send it to each other. */
 typedef struct WPCachedPrefixUpdate {
     uint64_t replica; /* hash of its incarnation */
     uint64_t key;     /* from wp_prefix_cache_key() */
     uint32_t tokens;
 } WPCachedPrefixUpdate;
 
+/* Moves up to `max` prefixes that have not been sent to other boxes to `out`;
+   they then count as sent. Returns their number. */
 size_t wp_fleet_take_unsent_prefixes(WPFleet *f, WPCachedPrefixUpdate *out,
                                      size_t max);
+
+/* Merges a prefix that another box has sent. */
 void wp_fleet_merge_cached_prefix(WPFleet *f, WPTime now,
                                   const WPCachedPrefixUpdate *n);
 
@@ -349,7 +355,7 @@
 size_t wp_fleet_take_unsent_limits(WPFleet *f, WPTime now, WPLimitUpdate *out,
                                    size_t max);
 
-/* Whether there are any to be sent, due or not. */
+/* Whether limits are still to be sent to other boxes, due or not. */
 bool wp_fleet_has_unsent_limits(const WPFleet *f);
 
 /* Calls `fn` for all known limits, for a box that joins. */
@@ -376,23 +382,32 @@
                                 const struct WPExcludedEndpoints *excluded);
 
 /* wp_fleet_notice.c: endpoints that are draining, and endpoints that asked
-   this box for back-off. `backoff_s` is the time asked for, in seconds. Each
-   returns true if the endpoint was not in that state before. */
+   this box for back-off. */
+
+/* Records that an answer of the endpoint reports that it is draining. Returns
+   true if it is registered and was not known to be draining before. */
 bool wp_fleet_record_draining(WPFleet *f, WPReplica *s, WPTime now);
+
+/* Records that the endpoint has asked this box to send nothing for `backoff_s`
+   seconds. Returns true if it is registered and was not backing off before. */
 bool wp_fleet_record_backoff(WPFleet *f, WPReplica *s, WPTime now,
                              double backoff_s);
 
 /* The endpoint sent a field that cannot be read; returns whether to log it. */
 bool wp_fleet_should_report_bad_field(WPReplica *s, WPTime now);
 
-/* Records that an endpoint told another box that it is draining. Returns the
-   endpoint if that changes what is known, which is then sent on; else NULL. */
+/* Merges that an endpoint has reported to another box to be draining. Returns
+   the endpoint if that changes what is known, which is then sent on; else NULL.
+ */
 WPReplica *wp_fleet_merge_draining(WPFleet *f, WPTime now,
                                    uint64_t incarnation);
 
 /* Moves the hashes of draining incarnations that have not been sent to other
    boxes to `out`; they then count as sent. */
 size_t wp_fleet_take_unsent_draining(WPFleet *f, uint64_t *out, size_t max);
+
+/* Whether draining incarnations are left that have not been sent to other
+   boxes. */
 bool wp_fleet_has_unsent_draining(const WPFleet *f);
 
 /* Calls `fn` for all draining incarnations, for a box that joins. */
@@ -422,6 +437,8 @@
    then count as sent. */
 size_t wp_fleet_take_unsent_backoffs(WPFleet *f, WPTime now,
                                      WPBackoffUpdate *out, size_t max);
+
+/* Whether back-offs are still to be sent to other boxes, due or not. */
 bool wp_fleet_has_unsent_backoffs(const WPFleet *f);
 
 /* How many endpoints are draining and backing off at present. */
@@ -429,6 +446,7 @@
     unsigned draining, backing_off;
 } WPNoticeCount;
 
+/* Counts the endpoints that are draining, and those that are backing off. */
 WPNoticeCount wp_fleet_count_notices(const WPFleet *f, WPTime now);
 
 /* wp_fleet_exclusion.c: why no request, or no further one, is to be sent to an
@@ -477,11 +495,16 @@
 void wp_fleet_record_load(WPFleet *f, WPReplica *s, WPTime now,
                           uint32_t running, uint32_t waiting, uint32_t slots);
 
-/* Take in from another box that it sent the endpoint a request with this
-   predicted prefill time; that the first byte of its answer came; that it
-   received a load report. */
+/* Merges that another box has sent the endpoint a request whose prompt takes
+   `prefill_us` to prefill, as predicted. */
 void wp_fleet_merge_sent(WPReplica *s, WPTime now, double prefill_us);
+
+/* Merges that another box has received the first byte of an answer.
+   `prefill_us`: the same as in wp_fleet_merge_sent(). */
 void wp_fleet_merge_first_byte(WPReplica *s, WPTime now, double prefill_us);
+
+/* Merges a load report that another box has received from the endpoint; ignored
+   while a load report of at most 40 ms of age is known here already. */
 void wp_fleet_merge_load(WPReplica *s, WPTime now, uint32_t running,
                          uint32_t waiting);
 
--- a/src/wp_fleet_int.h
+++ b/src/wp_fleet_int.h
@@ -62,30 +62,52 @@
    registry shows its start. */
 void wp_fleet_suspect_restart(WPReplica *s, WPTime now);
 
-/* wp_fleet_limit.c: when the endpoint's rate limit allows this box's next
-   request; how many requests a second this box may send there; whether the
-   request leaves such an endpoint's slots to more urgent ones. */
+/* wp_fleet_limit.c: when this box may send its next request to the endpoint
+   under the endpoint's rate limit, in monotonic microseconds; 0: the endpoint
+   has no limit; INT64_MAX: not before this box has another quota. */
 int64_t wp_fleet_limit_next_send_us(WPFleet *f, WPTime now, const WPReplica *s);
+
+/* How many requests per second this box may send to an endpoint that has
+   reported a limit; 0: the endpoint sets none any more. */
 double wp_fleet_limit_own_rate(WPFleet *f, WPTime now, const WPReplica *s);
+
+/* Whether the request has to leave the slots of endpoints with rate limits to
+   more urgent requests: some of these for the same service were refused within
+   the last second because of such limits. Applies only to a share of the less
+   urgent requests, chosen by `q->random`, so that none starves. */
 bool wp_fleet_limit_yields(WPFleet *f, WPTime now, const WPEndpointQuery *q);
-/* Keep demand rates up to date for endpoints with limits, and forget limits
-   that ended long ago; take in a limit received before the endpoint was
-   registered; remove the limit of an endpoint that is removed. */
+
+/* Keeps the demand of services active whose endpoints have limits, and forgets
+   limits that ended long ago. */
 void wp_fleet_tick_limits(WPFleet *f, WPTime now);
+
+/* Applies the limit that was received from another box before the endpoint was
+   registered, if there is one. */
 void wp_fleet_merge_early_limit(WPFleet *f, WPTime now, const WPReplica *s);
+
+/* Removes what is known of the endpoint's limit. */
 void wp_fleet_forget_limit(WPFleet *f, WPReplica *s);
 
-/* wp_fleet_notice.c: what an incarnation has reported outlives its registry
-   entry, which may expire and be restored; a new incarnation has reported
-   nothing. */
+/* wp_fleet_notice.c: the reports of an incarnation outlive its registry entry,
+   which may expire and be restored; a new incarnation has reported nothing. */
+
+/* Applies the saved draining state and back-off of an endpoint that is
+   registered again, if its incarnation has any. */
 void wp_fleet_restore_notices(WPFleet *f, WPReplica *s);
+
+/* Saves the draining state and back-off of an endpoint whose registry entry is
+   removed, for wp_fleet_restore_notices(). */
 void wp_fleet_save_notices(WPFleet *f, WPTime now, const WPReplica *s);
+
+/* Removes the endpoint from the lists of draining endpoints and back-offs. */
 void wp_fleet_forget_notices(WPFleet *f, WPReplica *s);
 
-/* wp_fleet_exclusion.c: an exclusion that does not end by itself, or none;
-   whether the endpoint has the version and area for the request and was not
-   tried by it, whatever excludes it. */
+/* wp_fleet_exclusion.c: the endpoint's exclusion if it is one that does not end
+   by itself; otherwise WP_NOT_EXCLUDED. */
 WPExclusion wp_fleet_lasting_exclusion(const WPReplica *s);
+
+/* Whether the endpoint has a version and an area that the request allows, and
+   was not tried for it before. Exclusions do not count. */
 bool wp_fleet_matches(const WPEndpointQuery *q, const WPReplica *s);
 
 /* The endpoints (WPReplica) of a service, an empty list if it is not known
--- a/src/wp_flow.c
+++ b/src/wp_flow.c
@@ -163,13 +163,14 @@
    Returns WP_NO_KEY if the route needs a key and the request has no known one.
  */
 static WPCode check_caller(const WPDirect *d, WPFlow *f,
-                           const WPDirectRequest *ask)
+                           const WPDirectRequest *request)
 {
     const WPCaller *c;
     f->priority = f->route->priority;
     if (!d->routes->requires_keys || f->route->anonymous)
         return WP_OK;
-    c = ask->key.n ? wp_routes_caller_by_key(d->routes, ask->key) : NULL;
+    c = request->key.n ? wp_routes_caller_by_key(d->routes, request->key)
+                       : NULL;
     if (!c)
         return WP_NO_KEY;
     f->workspace = c->workspace;
@@ -181,16 +182,16 @@
 
 /* Finds the route, the caller and the service of a request. Returns WP_OK or
    the error code to refuse it with. */
-static WPCode admit(WPFlow *f, const WPDirectRequest *ask)
+static WPCode admit(WPFlow *f, const WPDirectRequest *request)
 {
     WPDirect *d = f->direct;
     if (!d->routes)
         return WP_NOT_READY;
     f->routes = wp_routes_ref(d->routes);
-    f->route = wp_routes_find(d->routes, ask->host, ask->path);
+    f->route = wp_routes_find(d->routes, request->host, request->path);
     if (!f->route)
         return WP_NO_ROUTE;
-    WPCode code = check_caller(d, f, ask);
+    WPCode code = check_caller(d, f, request);
     if (code != WP_OK)
         return code;
     f->service =
@@ -198,16 +199,16 @@
     return f->service ? WP_OK : WP_NO_ENDPOINT;
 }
 
-static void set_times(WPFlow *f, const WPDirectRequest *ask)
+static void set_times(WPFlow *f, const WPDirectRequest *request)
 {
     uint32_t route_ms = f->route->timeout_ms;
-    uint32_t ms = ask->deadline_ms;
+    uint32_t ms = request->deadline_ms;
     if (route_ms && (!ms || route_ms < ms))
         ms = route_ms;
     /* At a box that is draining the deadline lies before its end: what is not
        done by then gets an error response, not a broken connection. */
-    if (ask->box_stops_in_ms && (!ms || ask->box_stops_in_ms < ms))
-        ms = ask->box_stops_in_ms;
+    if (request->box_stops_in_ms && (!ms || request->box_stops_in_ms < ms))
+        ms = request->box_stops_in_ms;
     f->deadline_us =
         ms ? f->start_us + (int64_t)ms * WP_US_PER_MS : INT64_MAX / 2;
 }
@@ -228,11 +229,11 @@
 
 static WPFlowAction fail_excluded(WPCode code, uint32_t retry_ms,
                                   const WPExcludedEndpoints *by,
-                                  WPExclusion bar)
+                                  WPExclusion exclusion)
 {
     WPFlowAction m = fail_action(code, retry_ms);
     m.excluded = by->endpoint;
-    m.exclusion = bar;
+    m.exclusion = exclusion;
     return m;
 }
 
@@ -330,19 +331,19 @@
         *out = fail_no_endpoint(f, now);
 }
 
-void wp_flow_admit(WPFlow *f, WPTime now, const WPDirectRequest *ask,
+void wp_flow_admit(WPFlow *f, WPTime now, const WPDirectRequest *request,
                    WPFlowAction *out)
 {
     WPDirect *d = f->direct;
-    WPCode code = admit(f, ask);
+    WPCode code = admit(f, request);
     if (code != WP_OK) {
         *out = fail_action(code, retry_ms_of(d, code));
         return;
     }
-    f->hash = wp_flow_request_hash(f, ask);
-    set_times(f, ask);
-    if (ask->box_stops_in_ms &&
-        !wp_flow_can_finish_within(f, ask->box_stops_in_ms)) {
+    f->hash = wp_flow_request_hash(f, request);
+    set_times(f, request);
+    if (request->box_stops_in_ms &&
+        !wp_flow_can_finish_within(f, request->box_stops_in_ms)) {
         *out = fail_action(WP_LEAVING, DRAINING_MS);
         return;
     }
@@ -353,28 +354,29 @@
         send_first(f, now, out);
 }
 
-WPFlow *wp_flow_begin(WPDirect *d, WPTime now, const WPDirectRequest *ask,
+WPFlow *wp_flow_begin(WPDirect *d, WPTime now, const WPDirectRequest *request,
                       WPFlowAction *out)
 {
     WPFlow *f = g_new0(WPFlow, 1);
     f->direct = d;
-    f->id = g_strndup(ask->id.p, ask->id.n);
-    f->model = g_strndup(ask->model.p, ask->model.n);
+    f->id = g_strndup(request->id.p, request->id.n);
+    f->model = g_strndup(request->model.p, request->model.n);
     f->start_us = now.mono_us;
     f->deadline_us = INT64_MAX / 2;
-    f->prompt = ask->prompt;
-    f->answer_tokens = ask->answer_tokens;
-    f->body_bytes = ask->body_bytes;
-    f->session = ask->session.n ? wp_hash(ask->session, 0) : 0;
-    f->position = wp_direct_session_position(f->session ? f->session
-                                                        : wp_hash(ask->id, 0));
+    f->prompt = request->prompt;
+    f->answer_tokens = request->answer_tokens;
+    f->body_bytes = request->body_bytes;
+    f->session = request->session.n ? wp_hash(request->session, 0) : 0;
+    f->position = wp_direct_session_position(
+        f->session ? f->session : wp_hash(request->id, 0));
     wp_count(&d->counters, WP_C_REQUESTS);
     uint32_t hold_ms =
-        d->routes ? 0 : wp_startup_hold_ms(&d->startup, now, ask->deadline_ms);
+        d->routes ? 0
+                  : wp_startup_hold_ms(&d->startup, now, request->deadline_ms);
     if (hold_ms)
         *out = (WPFlowAction){ .kind = WP_FLOW_HOLD, .retry_ms = hold_ms };
     else
-        wp_flow_admit(f, now, ask, out);
+        wp_flow_admit(f, now, request, out);
     return f;
 }
 
--- a/src/wp_flow_head.c
+++ b/src/wp_flow_head.c
@@ -14,9 +14,9 @@
                         WPHeadChanges *out)
 {
     WPReplica *s = f->attempt.replica;
-    const WPLimitReport seen = { a->limit, a->has_seal, f->attempt.sent_us };
+    const WPLimitReport report = { a->limit, a->has_seal, f->attempt.sent_us };
     out->previous_limit = wp_fleet_limit_of(s);
-    out->limit = wp_fleet_record_limit(f->direct->fleet, s, now, &seen);
+    out->limit = wp_fleet_record_limit(f->direct->fleet, s, now, &report);
 }
 
 static const char *invalid_field(const WPDirectAnswer *a)
--- a/src/wp_flow_int.h
+++ b/src/wp_flow_int.h
@@ -14,15 +14,16 @@
 bool wp_flow_is_serialized(const WPFlow *f);
 
 /* Hash of workspace, host and content (method, target and body), the same at
-   each box to which a caller sends the request; and hash of an endpoint's
-   service and version. */
-uint64_t wp_flow_request_hash(const WPFlow *f, const WPDirectRequest *ask);
+   each box to which a caller sends the request. */
+uint64_t wp_flow_request_hash(const WPFlow *f, const WPDirectRequest *request);
+
+/* Hash of an endpoint's service and version. */
 uint64_t wp_flow_version_hash(const WPReplica *s);
 
-/* wp_flow_loss_outcome() returns the outcome of the present attempt, whose
-   connection was lost; wp_flow_record_crash() records that its endpoint may
-   have crashed during the request. */
+/* Returns the outcome of the present attempt, whose connection was lost. */
 WPAttemptOutcome wp_flow_loss_outcome(const WPFlow *f, WPAttemptLoss how);
+
+/* Records that the present attempt's endpoint may have crashed during it. */
 void wp_flow_record_crash(WPFlow *f, WPTime now);
 
 /* The name of the model to request from the endpoint: the present one of the
@@ -35,10 +36,13 @@
 /* Milliseconds until the deadline of the request; below 0: it has passed. */
 int64_t wp_flow_remaining_ms(const WPFlow *f, WPTime now);
 
-/* The model of the time to first byte (TTFB) with `model`; and the expected
-   TTFB of this request with it, 0: unknown. `*prefill_us` gets the part of it
-   that is prefill of the prompt, 0: unknown. */
+/* The model that predicts the time to first byte (TTFB) of answers by
+   `model`. */
 WPTtfbModel *wp_flow_ttfb_model(WPFlow *f, WPStr model);
+
+/* The expected TTFB of this request with `model`, in microseconds; 0: unknown.
+   `*prefill_us` is set to the part of it that is prefill of the prompt; 0:
+   unknown. */
 double wp_flow_expected_ttfb_us(WPFlow *f, WPTime now, WPStr model,
                                 double *prefill_us);
 
@@ -76,9 +80,12 @@
 /* Learns from a complete stream how streams stall at its endpoint. */
 void wp_flow_learn_stall(WPFlow *f);
 
-/* As wp_flow_sample_shift(): the former by the mean gap between the stream's
-   `events` so far, the latter by how long a non-streaming answer is overdue. */
+/* Samples the present attempt, as wp_flow_sample_shift() does, by the mean gap
+   between the stream's `events` so far. */
 void wp_flow_sample_event_gap(WPFlow *f, WPTime now, uint64_t events);
+
+/* Samples the present attempt as slow if its non-streaming answer is long
+   overdue. */
 void wp_flow_sample_overdue(WPFlow *f, WPTime now);
 
 /* For how many milliseconds the request's session still binds it to a version
--- a/src/wp_flow_pick.c
+++ b/src/wp_flow_pick.c
@@ -84,10 +84,11 @@
 /* Whether there are endpoints from which only a temporary exclusion of this
    kind keeps the request. */
 static bool is_excluded(const WPFlow *f, WPTime now, const WPEndpointQuery *w,
-                        WPExclusion bar)
+                        WPExclusion exclusion)
 {
-    WPExcludedEndpoints barred;
-    return wp_fleet_find_excluded(f->direct->fleet, now, w, bar, &barred);
+    WPExcludedEndpoints excluded;
+    return wp_fleet_find_excluded(f->direct->fleet, now, w, exclusion,
+                                  &excluded);
 }
 
 /* The same for back-offs, including endpoints that this request has already
--- a/src/wp_flow_suspect.c
+++ b/src/wp_flow_suspect.c
@@ -18,10 +18,10 @@
 
 /* The workspace is part of the hash, so that nobody affects another workspace's
    requests by sending a copy of them. */
-uint64_t wp_flow_request_hash(const WPFlow *f, const WPDirectRequest *ask)
+uint64_t wp_flow_request_hash(const WPFlow *f, const WPDirectRequest *request)
 {
     WPStr caller = f->workspace ? wp_str(f->workspace) : wp_str("");
-    return wp_hash(caller, wp_hash(ask->host, ask->content_hash));
+    return wp_hash(caller, wp_hash(request->host, request->content_hash));
 }
 
 /* When an endpoint crashes, all requests that run there lose their connections:
--- a/src/wp_idempotency.h
+++ b/src/wp_idempotency.h
@@ -20,6 +20,7 @@
 /* The keys that one agent remembers. */
 typedef struct WPIdempotency WPIdempotency;
 
+/* Returns an empty table of keys; `rules` is copied. */
 WPIdempotency *wp_idempotency_new(const WPIdempotencyRules *rules);
 void wp_idempotency_free(WPIdempotency *o);
 
--- a/src/wp_labels.h
+++ b/src/wp_labels.h
@@ -13,7 +13,10 @@
 typedef struct WPLabels WPLabels; /* small map, ordered by key */
 typedef struct WPSelector WPSelector;
 
+/* Returns an empty set. */
 WPLabels *wp_labels_new(void);
+
+/* Returns a copy; free with wp_labels_free(). */
 WPLabels *wp_labels_copy(const WPLabels *l);
 void wp_labels_free(WPLabels *l);
 
@@ -23,6 +26,8 @@
 /* Returns the value of `key` as a NUL-terminated string owned by `l`; NULL if
    the key is absent or `l` is NULL. */
 const char *wp_labels_get(const WPLabels *l, WPStr key);
+
+/* Returns the number of labels; `l` must not be NULL. */
 size_t wp_labels_count(const WPLabels *l);
 
 /* Sets `key` and `value` to those of label `i` in the order of the keys; both
--- a/src/wp_limit.h
+++ b/src/wp_limit.h
@@ -81,9 +81,10 @@
    when the endpoint is not limited. */
 WPLimitWindow wp_limit_window(const WPLimit *l, WPTime now);
 
-/* Records that a request is sent to the endpoint, by this box or by another
-   one. */
+/* Records that this box sends a request to the endpoint. */
 void wp_limit_record_own_send(WPLimit *l, WPTime now);
+
+/* Records that another box has sent a request to the endpoint. */
 void wp_limit_record_remote_send(WPLimit *l, WPTime now);
 
 /* When a box with this quota of the window may send its next request, in
--- a/src/wp_members.h
+++ b/src/wp_members.h
@@ -21,6 +21,7 @@
     guint live_index; /* index in the array of live boxes; internal */
 } WPMemberRow;
 
+/* Returns an empty table. */
 WPMembers *wp_members_new(void);
 void wp_members_free(WPMembers *t);
 
@@ -28,11 +29,13 @@
    whether it was. */
 bool wp_members_merge(WPMembers *t, const Wp__Member *m, int64_t now_us);
 
+/* Returns the row of the box with this id, owned by `t`; NULL: not known. */
 const WPMemberRow *wp_members_get(const WPMembers *t, const char *id);
 
-/* The number of boxes that are not gone, and the box at an index below that
-   number. */
+/* Returns the number of boxes that are not gone. */
 unsigned wp_members_live_count(const WPMembers *t);
+
+/* Returns the box at an index below wp_members_live_count(). */
 const WPMemberRow *wp_members_live_at(const WPMembers *t, unsigned i);
 
 /* Calls `fn` with `arg` for each row, including those of boxes that are
@@ -40,11 +43,14 @@
 void wp_members_each(const WPMembers *t,
                      void (*fn)(void *arg, const WPMemberRow *r), void *arg);
 
-/* Hashes of all records, and of the records in one of WP_MEMBER_BUCKETS
-   buckets. Two boxes with the same records have the same hashes.
-   wp_member_bucket() returns the bucket of a box. */
+/* Returns the hash of all records; two boxes with the same records have the
+   same hash. */
 uint64_t wp_members_hash(const WPMembers *t);
+
+/* Returns the hash of the records in one of WP_MEMBER_BUCKETS buckets. */
 uint64_t wp_members_bucket_hash(const WPMembers *t, unsigned bucket);
+
+/* Returns the bucket of the box with this id. */
 unsigned wp_member_bucket(const char *id);
 
 /* Returns the rank of `self` in its zone: the number of other boxes of the zone
--- a/src/wp_mirror.h
+++ b/src/wp_mirror.h
@@ -19,12 +19,14 @@
 
 typedef struct WPMirror WPMirror;
 
+/* Returns an empty copy at revision 0. */
 WPMirror *wp_mirror_new(void);
 void wp_mirror_free(WPMirror *m);
 
-/* The revision up to which the copy contains every change. wp_mirror_advance()
-   raises it to `revision` and never lowers it. */
+/* Returns the revision up to which the copy contains every change. */
 uint64_t wp_mirror_complete_revision(const WPMirror *m);
+
+/* Raises the complete revision to `revision`; never lowers it. */
 void wp_mirror_advance(WPMirror *m, uint64_t revision);
 
 /* Stores an entry, or its removal if `value` is NULL. Returns false and changes
--- a/src/wp_node.h
+++ b/src/wp_node.h
@@ -68,16 +68,21 @@
 void wp_node_on_snapshot(WPNode *n, WPTime now, int64_t asked_us, bool ok,
                          const Wp__Snapshot *s);
 
-/* The watched head has changed; wp_node_on_watch_end(): the watch has
-   failed. */
+/* The watched head has changed to this revision and value (a serialized
+   Delta). */
 void wp_node_on_watch_event(WPNode *n, WPTime now, uint64_t revision,
                             const uint8_t *value, size_t size);
+
+/* The watch has failed; the node reads the head again soon. */
 void wp_node_on_watch_end(WPNode *n, WPTime now);
 
-/* The answers to WP_ACT_READ_BOXES and WP_ACT_READ_RATINGS; not called if the
-   platform gave no valid answer. */
+/* The answer to WP_ACT_READ_BOXES; not called if the platform gave no valid
+   answer. */
 void wp_node_on_box_list(WPNode *n, WPTime now, const WPBox *boxes,
                          size_t count);
+
+/* The answer to WP_ACT_READ_RATINGS; not called if the platform gave no valid
+   answer. */
 void wp_node_on_ratings(WPNode *n, WPTime now, const Wp__Ratings *r);
 
 /* Returns the next queued action, or NULL; free it with wp_action_free(). */
@@ -89,13 +94,20 @@
 void wp_node_on_peer_revision(WPNode *n, WPTime now, const char *from,
                               uint64_t revision);
 
-/* Marks this box as draining, or sets the versions that it serves, and
-   announces its changed record. */
+/* Marks this box as draining, and announces its changed record. */
 void wp_node_drain(WPNode *n, WPTime now);
+
+/* Sets the versions that this box serves (ended by NULL, copied), and announces
+   its changed record. */
 void wp_node_set_versions(WPNode *n, WPTime now, char **versions);
 
+/* Whether this box may serve requests: WP_ACT_READY has been queued. */
 bool wp_node_ready(const WPNode *n);
+
+/* Whether the store answered the last call. */
 bool wp_node_store_up(const WPNode *n);
+
+/* Parts of the node, which owns them. */
 const WPConfig *wp_node_config(const WPNode *n);
 const WPMembers *wp_node_members(const WPNode *n);
 const Wp__Member *wp_node_self(const WPNode *n);
--- a/src/wp_node_int.h
+++ b/src/wp_node_int.h
@@ -81,6 +81,9 @@
 /* The local configuration was the newest at `at_us`; an earlier time than the
    one on record is ignored. */
 void wp_node_note_confirmed(WPNode *n, int64_t at_us);
+
+/* Queues the reads of the store, of the list of boxes and of the ratings that
+   are due, and starts or ends the watch. */
 void wp_node_store_tick(WPNode *n, WPTime now);
 
 /* Queues WP_ACT_READY once the configuration is known to be the newest. */
--- a/src/wp_plan.c
+++ b/src/wp_plan.c
@@ -168,7 +168,7 @@
                              wp_policy_workspace(e->policy, r->workspace),
                          .labels = r->labels,
                          .now_ms = (uint64_t)now.wall_ms };
-    if (e->guard_off[WP_GUARD_SESSION])
+    if (e->guard_disabled[WP_GUARD_SESSION])
         return;
     WPSessionPlacement at = wp_session_place(e->policy, kind, &r->allowed, &s);
     if (at.version < 0)
--- a/src/wp_policy.h
+++ b/src/wp_policy.h
@@ -33,6 +33,7 @@
     return !(s->w[0] | s->w[1] | s->w[2] | s->w[3]);
 }
 
+/* Returns the number of versions in the set. */
 unsigned wp_version_set_count(const WPVersionSet *s);
 
 typedef struct WPVersion {
@@ -64,14 +65,20 @@
    and named in wp_policy_problems(). A selector that denies and cannot be
    parsed denies everything. */
 WPPolicy *wp_policy_new(const WPConfig *c);
+
+/* Takes and drops a reference. */
 WPPolicy *wp_policy_ref(WPPolicy *p);
 void wp_policy_unref(WPPolicy *p);
 
+/* Returns the revision of the configuration that it was compiled from. */
 uint64_t wp_policy_revision(const WPPolicy *p);
-const GPtrArray *wp_policy_problems(const WPPolicy *p); /* of char * */
 
-/* Counts of objects; objects by an index below the count; objects by name, or
-   NULL. */
+/* Returns a message (char *) for each invalid object; owned by the policy. */
+const GPtrArray *wp_policy_problems(const WPPolicy *p);
+
+/* Accessors of versions, kinds and workspaces: their number, the one at an
+   index below that number (_at), and the one of this name, or NULL. All objects
+   are owned by the policy. */
 unsigned wp_policy_versions(const WPPolicy *p);
 const WPVersion *wp_policy_version_at(const WPPolicy *p, unsigned i);
 const WPVersion *wp_policy_version(const WPPolicy *p, const char *name);
@@ -86,6 +93,8 @@
    or NULL. */
 const WPWorkspace *wp_policy_by_key(const WPPolicy *p, const char *sha256);
 
+/* Accessors of roll-outs and session keys: their number, and the one at an
+   index below that number. */
 unsigned wp_policy_rollouts(const WPPolicy *p);
 const WPRollout *wp_policy_rollout_at(const WPPolicy *p, unsigned i);
 unsigned wp_policy_session_keys(const WPPolicy *p);
--- a/src/wp_prefix_cache.h
+++ b/src/wp_prefix_cache.h
@@ -8,6 +8,7 @@
 
 typedef struct WPPrefixCache WPPrefixCache;
 
+/* Returns an empty cache; its capacity is not known yet. */
 WPPrefixCache *wp_prefix_cache_new(void);
 void wp_prefix_cache_free(WPPrefixCache *k);
 
--- a/src/wp_quality.h
+++ b/src/wp_quality.h
@@ -23,6 +23,7 @@
     double mean, low, high;
 } WPBound;
 
+/* Returns an object without ratings. */
 WPQuality *wp_quality_new(void);
 void wp_quality_free(WPQuality *q);
 
@@ -35,18 +36,22 @@
 WPBound *wp_quality_table(const WPQuality *q, const WPPolicy *p);
 
 /* Whether the test has found the version bad for some kind of request; sets
-   `kind` to its name. wp_quality_forget() discards the version's ratings so
-   far, as is due when the expected quality changes. */
+   `kind` to its name. */
 bool wp_quality_is_bad(const WPQuality *q, const char *version,
                        const char **kind);
+
+/* Discards the version's ratings so far, as is due when the expected quality
+   changes. */
 void wp_quality_forget(WPQuality *q, const char *version);
 
 /* Number of ratings received for the version, over all kinds. */
 double wp_quality_rating_count(const WPQuality *q, const char *version);
 
-/* The latest cumulative sums, to be sent to other boxes; free with
-   wp_pb_free(). wp_quality_seq() is their sequence number. */
+/* Returns the latest cumulative sums, to be sent to other boxes; free with
+   wp_pb_free(). */
 Wp__Ratings *wp_quality_sums(const WPQuality *q);
+
+/* Returns the sequence number of the latest cumulative sums. */
 uint64_t wp_quality_seq(const WPQuality *q);
 
 #endif
--- a/src/wp_queue.c
+++ b/src/wp_queue.c
@@ -215,7 +215,7 @@
 WPTicket *wp_queue_start_next(WPQueue *q, int64_t now_us)
 {
     WPTicket *best = NULL;
-    double least_use = 0;
+    double min_use = 0;
     if (q->running >= q->slots || !q->waiting)
         return NULL;
     decay_all(q, now_us);
@@ -223,10 +223,10 @@
         WPTicket *t = wp_list_item(it, WPTicket, link);
         double use = relative_use(share_of(q, t));
         if (best && (t->class_rank > best->class_rank ||
-                     (t->class_rank == best->class_rank && use >= least_use)))
+                     (t->class_rank == best->class_rank && use >= min_use)))
             continue;
         best = t;
-        least_use = use;
+        min_use = use;
     }
     dequeue(q, best);
     start(q, now_us, best);
--- a/src/wp_queue.h
+++ b/src/wp_queue.h
@@ -26,6 +26,8 @@
    besides. */
 WPQueue *wp_queue_new(unsigned slots, unsigned max_waiting);
 void wp_queue_free(WPQueue *q);
+
+/* Sets the number of tickets that run at the same time. */
 void wp_queue_set_slots(WPQueue *q, unsigned slots);
 
 /* Decides on a new ticket. With WP_ADMIT_REFUSE `code` gives the reason. With
@@ -46,10 +48,13 @@
    there is none. */
 WPTicket *wp_queue_pop_late(WPQueue *q, int64_t now_us);
 
+/* Numbers of tickets that run and that wait, and of slots. */
 unsigned wp_queue_running(const WPQueue *q);
 unsigned wp_queue_waiting(const WPQueue *q);
 unsigned wp_queue_slots(const WPQueue *q);
-double wp_queue_service_us(const WPQueue *q); /* smoothed time in a slot */
+
+/* Returns the smoothed time that a request holds a slot, in microseconds. */
+double wp_queue_service_us(const WPQueue *q);
 
 /* After how many milliseconds a caller of this class should retry. */
 uint32_t wp_queue_retry_ms(const WPQueue *q, unsigned rank);
--- a/src/wp_report_lease.c
+++ b/src/wp_report_lease.c
@@ -376,10 +376,10 @@
         d->send_until_us = d->write_sent_us + in_us(d->rules.lease_ms) / 2;
 }
 
-void wp_report_lease_sent(WPReportLease *d, WPTime now, bool taken)
+void wp_report_lease_sent(WPReportLease *d, WPTime now, bool accepted)
 {
     d->sending = false;
-    if (taken)
+    if (accepted)
         g_array_append_val(d->reported, d->sent_window);
     else
         d->retry_us = now.mono_us + in_us(RETRY_MS);
--- a/src/wp_report_lease.h
+++ b/src/wp_report_lease.h
@@ -86,8 +86,8 @@
 void wp_report_lease_written(WPReportLease *d, WPTime now, bool done,
                              uint64_t revision);
 
-/* The report has ended; `taken`: the receiver has accepted it. */
-void wp_report_lease_sent(WPReportLease *d, WPTime now, bool taken);
+/* The report has ended; `accepted`: the receiver has accepted it. */
+void wp_report_lease_sent(WPReportLease *d, WPTime now, bool accepted);
 
 /* Whether this process holds the lease, as far as it knows. */
 bool wp_report_lease_is_held(const WPReportLease *d);
--- a/src/wp_rollout.h
+++ b/src/wp_rollout.h
@@ -35,7 +35,10 @@
     GHashTable *observed; /* roll-out's name -> Observed */
 } WPRolloutMonitor;
 
+/* Begins without observations. */
 void wp_rollout_monitor_init(WPRolloutMonitor *w);
+
+/* Frees the observations, but not `w` itself. */
 void wp_rollout_monitor_end(WPRolloutMonitor *w);
 
 /* Updates the observations from the policy's roll-outs and the ratings in `q`.
--- a/src/wp_route.h
+++ b/src/wp_route.h
@@ -85,10 +85,15 @@
 /* Returns an empty table with the default limits. It is filled by the functions
    below and not changed after that. */
 WPRoutes *wp_routes_new(uint64_t version);
+
+/* Takes and drops a reference. */
 WPRoutes *wp_routes_ref(WPRoutes *t);
 void wp_routes_unref(WPRoutes *t);
 
+/* Adds a service, which the table owns. */
 WPService *wp_routes_add_service(WPRoutes *t, const char *name);
+
+/* Adds a model to a service; `cost`: see WPModel. */
 void wp_service_add_model(WPService *s, const char *name, double cost);
 
 /* Adds a route for `host` and the paths that begin with `prefix`, which ends in
@@ -100,8 +105,13 @@
    such service. */
 bool wp_route_add_target(WPRoutes *t, WPRoute *r, const char *service,
                          double weight);
+
+/* Adds a caller, which the table owns; from then on callers need API keys.
+   `priority`: see WPCaller. */
 WPCaller *wp_routes_add_caller(WPRoutes *t, const char *workspace,
                                int priority);
+
+/* Adds an API key of the caller `c`. */
 void wp_routes_add_key(WPRoutes *t, const char *key, WPCaller *c);
 
 /* Returns the route of `host` with the longest prefix of `path`, or NULL. */
@@ -110,7 +120,10 @@
 /* Returns the caller that the API key belongs to, or NULL. */
 const WPCaller *wp_routes_caller_by_key(const WPRoutes *t, WPStr key);
 
+/* Returns the service of this name, or NULL. */
 const WPService *wp_routes_service(const WPRoutes *t, const char *name);
+
+/* Returns the service at this index (WPService.index). */
 const WPService *wp_routes_service_at(const WPRoutes *t, uint32_t index);
 
 /* Picks the service for one request, in proportion to the weights; `unit` is
--- a/src/wp_shift.c
+++ b/src/wp_shift.c
@@ -363,7 +363,7 @@
 }
 
 /* Whether enough is known for `stage` to begin: there are enough answers for a
-   verdict, or this box has observed the shift without a pause for as long as
+   decision, or this box has observed the shift without a pause for as long as
    the stages before take and would have seen bad ones. That nothing bad is
    known is not enough: boxes that had all restarted completed a shift to a slow
    version on 4 answers. */
--- a/src/wp_sse.h
+++ b/src/wp_sse.h
@@ -14,8 +14,10 @@
     uint32_t prompt_tokens, answer_tokens;
 } WPSse;
 
-/* `want_usage`: see WPSse. */
+/* Begins an answer; `want_usage`: see WPSse. */
 void wp_sse_init(WPSse *s, bool want_usage);
+
+/* Frees what `s` owns, but not `s` itself. */
 void wp_sse_end(WPSse *s);
 
 /* Takes the next `n` bytes and appends the complete events that the caller is
--- a/src/wp_stream.h
+++ b/src/wp_stream.h
@@ -13,7 +13,10 @@
     uint64_t events;
 } WPStream;
 
+/* Begins a stream without events. */
 void wp_stream_init(WPStream *s);
+
+/* Frees what `s` owns, but not `s` itself. */
 void wp_stream_end(WPStream *s);
 
 /* The caller already has the events up to the one with this id. */
--- a/src/wp_suspects.c
+++ b/src/wp_suspects.c
@@ -146,18 +146,18 @@
     GHashTableIter it;
     gpointer v;
     const WPSuspect *worst = NULL;
-    unsigned least = 0;
+    unsigned min_crashes = 0;
     if (g_hash_table_size(s->by_request) < MAX_RECORDS)
         return;
     g_hash_table_iter_init(&it, s->by_request);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const WPSuspect *p = v;
         unsigned n = wp_suspect_crash_count(p);
-        if (worst &&
-            (n > least || (n == least && p->changed_us >= worst->changed_us)))
+        if (worst && (n > min_crashes ||
+                      (n == min_crashes && p->changed_us >= worst->changed_us)))
             continue;
         worst = p;
-        least = n;
+        min_crashes = n;
     }
     uint64_t request = worst->request;
     g_hash_table_remove(s->by_request, &request);
--- a/src/wp_suspects_int.h
+++ b/src/wp_suspects_int.h
@@ -67,8 +67,8 @@
 /* Whether the record has a crash that is not cleared. */
 bool wp_suspect_has_uncleared(const WPSuspect *p);
 
-/* Whether the request has completed at this box so recently that it is trusted
-   not to crash endpoints. */
+/* Whether the request has completed at this box within the last 5 s: it is then
+   trusted not to crash endpoints. */
 bool wp_suspects_completed_recently(WPSuspects *s, WPTime now,
                                     uint64_t request);
 
--- a/src/wp_usage.h
+++ b/src/wp_usage.h
@@ -18,14 +18,17 @@
                       uint32_t keep_ms);
 void wp_usage_free(WPUsage *u);
 
-/* Windows are by the usage clock: the time of day when the process started,
-   advanced by the monotonic clock and corrected by the median of the other
-   boxes' clocks. Guards against machines whose time of day jumps. The clock is
-   in Unix ms; `mono_us` is of the monotonic clock. */
+/* Starts the usage clock, by which windows are counted: the time of day when
+   the process started, advanced by the monotonic clock and corrected by the
+   median of the other boxes' clocks. Guards against machines whose time of day
+   jumps. */
 void wp_usage_start_clock(WPUsage *u, WPTime now);
+
+/* Returns the usage clock in Unix ms at the monotonic time `mono_us`. */
 int64_t wp_usage_clock_ms(const WPUsage *u, int64_t mono_us);
 
-/* The same without that correction, as it is sent to the other boxes. */
+/* Returns the usage clock without the correction by the other boxes' clocks, as
+   it is sent to the other boxes. */
 int64_t wp_usage_local_clock_ms(const WPUsage *u, int64_t mono_us);
 
 /* Takes in the clock that another box has just sent; `box`: hash of its id. */
@@ -54,6 +57,8 @@
 /* Calls `fn` for each count that was not sent since it last grew, and marks all
    as sent. Counts of a window and process follow each other. */
 void wp_usage_take_unsent(WPUsage *u, WPUsageFn fn, void *arg);
+
+/* Whether some count was not sent since it last grew. */
 bool wp_usage_has_unsent(const WPUsage *u);
 
 /* Marks all counts as not sent, as the box that has received them may be
