--- a/io/wp_peer_traffic.h
+++ b/io/wp_peer_traffic.h
@@ -7,9 +7,9 @@
 #include "wp_base.h"
 
 enum {
+    /* more than the highest field number of a Frame's body */
     WP_PEER_TRAFFIC_KINDS = 64
-}; /* more than the highest field number of a Frame's
-body */
+};
 
 typedef enum WPPeerTrafficDirection {
     WP_PEER_TRAFFIC_SENT,
